--- a/cmd/baobabstepd/main.go
+++ b/cmd/baobabstepd/main.go
@@ -1,9 +1,8 @@
 // Command baobabstepd runs one VM with token routing on the users' platform.
 //
-// It links only what such a VM needs: a VM starts on a tenth of a core, where
-// each millisecond of initialisation is one of ten in which callers wait. The
-// operators' commands and the VMs of the other policies are those of command
-// baobabstep.
+// It links only the packages that such a VM needs. A VM starts on a tenth of a core,
+// so each millisecond of initialisation delays callers by ten. The operators'
+// commands and VMs with other policies are in command baobabstep.
 package main
 
 import (
@@ -29,86 +28,88 @@
 )
 
 const (
-	// socketBuffer is the receive buffer asked for, in bytes: a second of the
-	// traffic of a VM that has just started and does not know its routes.
-	socketBuffer = 1 << 20
-	// gcPercent is how much the heap may grow between collections. Below 4 MB a
-	// standard heap is not collected at all; at 50 % the peak of a VM falls by
-	// a quarter, for a tenth more processor time.
+	// socketBufferBytes is the requested size of receive buffers. It holds a second
+	// of the traffic of a VM that has just started and does not have its routes yet.
+	socketBufferBytes = 1 << 20
+	// gcPercent is the GOGC value of a VM in operation. With the default, a heap below
+	// 4 MB is not collected at all. A value of 50 reduces the peak memory of a VM by
+	// a quarter and takes a tenth more processor time.
 	gcPercent = 50
-	// startGCPercent holds until the VM knows routes and targets. Reading the
-	// registrations makes garbage; to collect it meanwhile takes a good part of the
-	// processor time of a start, for which callers wait.
+	// startGCPercent is the GOGC value until the VM has routes and targets. Reading
+	// the registrations produces garbage, and collecting it during the start would
+	// take much of the processor time for which callers wait.
 	startGCPercent = 400
-	// unreadableClass bounds the lines about registrations that cannot be read:
-	// one that stays is met at each reading.
-	unreadableClass = "registration_unreadable"
-	// failed is the exit status of a VM that could not start or go on.
-	failed = 1
-	// misused is that of a wrong command line.
-	misused = 2
+	// unreadableLogClass is the class by which log lines about malformed
+	// registrations are limited. A registration that stays malformed is reported at
+	// each read.
+	unreadableLogClass = "registration_unreadable"
+	// exitFailed is the exit status if the VM could not start or failed.
+	exitFailed = 1
+	// exitUsage is the exit status if the command line is wrong.
+	exitUsage = 2
 )
 
 func main() {
 	if len(os.Args) != 2 || os.Args[1] == "--help" {
 		fmt.Fprintln(os.Stderr, "usage: baobabstepd SETTINGS\n\nRuns one VM with token routing until SIGTERM (planned stop) or a second SIGTERM (at once).\nSIGHUP reads the settings again.")
-		os.Exit(misused)
+		os.Exit(exitUsage)
 	}
 	debug.SetGCPercent(startGCPercent)
 	if err := run(os.Args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(failed)
+		os.Exit(exitFailed)
 	}
 }
 
-// run runs a VM with the settings at path.
+// run runs a VM with the settings at path until it stops.
 func run(path string) error {
-	s, err := setting.Read(path)
+	settings, err := setting.Read(path)
 	if err != nil {
 		return err
 	}
-	if s.Policy != setting.PolicyToken {
-		return baobabstep.Errorf(baobabstep.CodeSettings, "settings", "policy: got %q, want %q", s.Policy, setting.PolicyToken)
+	if settings.Policy != setting.PolicyToken {
+		return baobabstep.Errorf(baobabstep.CodeSettings, "settings", "policy: got %q, want %q", settings.Policy, setting.PolicyToken)
 	}
-	lines := logs.New(os.Stdout)
-	defer lines.Close()
-	logger := &log.Logger{Handler: jsonlog.New(lines), Level: log.MustParseLevel(s.LogLevel)}
-	stop, hurry := process.StopSignals(logger)
-	n, err := build(s, logger, lines)
+	logWriter := logs.New(os.Stdout)
+	defer logWriter.Close()
+	logger := &log.Logger{Handler: jsonlog.New(logWriter), Level: log.MustParseLevel(settings.LogLevel)}
+	stop, stopNow := process.StopSignals(logger)
+	node, err := newNode(settings, logger, logWriter)
 	if err != nil {
 		return err
 	}
-	running, cancel := context.WithCancel(context.Background())
-	reloading, saving := make(chan struct{}), make(chan struct{})
+	ctx, cancel := context.WithCancel(context.Background())
+	reloadDone, gcDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(reloading)
-		reload(running, path, n)
+		defer close(reloadDone)
+		reloadOnSIGHUP(ctx, path, node)
 	}()
 	go func() {
-		defer close(saving)
-		saveMemory(running, n)
+		defer close(gcDone)
+		reduceGCPercentAfterStart(ctx, node)
 	}()
-	err = n.Run(stop, hurry)
+	err = node.Run(stop, stopNow)
 	cancel()
-	<-reloading
-	<-saving
+	<-reloadDone
+	<-gcDone
 	return err
 }
 
-// saveMemory collects garbage as usual once the VM has started.
-func saveMemory(ctx context.Context, n *entry.Node) {
+// reduceGCPercentAfterStart sets gcPercent once the VM has routes and targets, or when
+// ctx ends.
+func reduceGCPercentAfterStart(ctx context.Context, node *entry.Node) {
 	select {
 	case <-ctx.Done():
-	case <-n.Known():
+	case <-node.Known():
 	}
 	debug.SetGCPercent(gcPercent)
 }
 
-// build opens the sockets and makes the VM.
-func build(s *setting.Settings, logger log.Interface, lines *logs.Writer) (*entry.Node, error) {
+// newNode binds the sockets and creates the VM.
+func newNode(settings *setting.Settings, logger log.Interface, logWriter *logs.Writer) (*entry.Node, error) {
 	sockets, err := packet.NewSegments(
-		packet.SocketOptions{Listen: s.DataAddress, Shards: s.Shards, BufferBytes: socketBuffer},
-		platform.Datagrams{CallerPort: s.DataAddress.Port()},
+		packet.SocketOptions{Listen: settings.DataAddress, Shards: settings.Shards, BufferBytes: socketBufferBytes},
+		platform.Datagrams{CallerPort: settings.DataAddress.Port()},
 	)
 	if err != nil {
 		return nil, err
@@ -119,9 +120,9 @@
 	}
 	clock := process.Clock{}
 	store, err := platform.NewStore(platform.StoreOptions{
-		URL: s.PlatformURL, LocalAddress: s.DataAddress.Addr(),
+		URL: settings.PlatformURL, LocalAddress: settings.DataAddress.Addr(),
 		Unreadable: func(err error) {
-			if lines.Wanted(clock.Now(), unreadableClass) {
+			if logWriter.Wanted(clock.Now(), unreadableLogClass) {
 				logger.WithError(err).Warn("registration unreadable")
 			}
 		},
@@ -129,19 +130,19 @@
 	if err != nil {
 		return nil, err
 	}
-	messages, err := datagram.Listen(s.PeerAddress)
+	messages, err := datagram.Listen(settings.PeerAddress)
 	if err != nil {
 		return nil, err
 	}
 	return entry.New(entry.Options{
-		Settings: s, Logger: logger, Clock: clock, Directory: store, Segments: segments, Messages: messages, LogLimits: lines,
+		Settings: settings, Logger: logger, Clock: clock, Directory: store, Segments: segments, Messages: messages, LogLimits: logWriter,
 		ReadyHandler: platform.ReadyHandler, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}), nil
 }
 
-// reload reads the settings again at each SIGHUP, until ctx ends. Without a
-// handler the signal would end the process.
-func reload(ctx context.Context, path string, n *entry.Node) {
+// reloadOnSIGHUP reloads the settings on each SIGHUP until ctx ends. Without a handler
+// the signal would end the process.
+func reloadOnSIGHUP(ctx context.Context, path string, node *entry.Node) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -150,8 +151,8 @@
 		case <-ctx.Done():
 			return
 		case <-signals:
-			s, err := setting.Read(path)
-			n.Reload(s, err)
+			settings, err := setting.Read(path)
+			node.Reload(settings, err)
 		}
 	}
 }
