--- a/cmd/baobabstepd/main.go
+++ b/cmd/baobabstepd/main.go
@@ -109,7 +109,7 @@
 func newNode(settings *setting.Settings, logger log.Interface, logWriter *logs.Writer) (*entry.Node, error) {
 	sockets, err := packet.NewSegments(
 		packet.SocketOptions{Listen: settings.DataAddress, Shards: settings.Shards, BufferBytes: socketBufferBytes},
-		platform.Datagrams{CallerPort: settings.DataAddress.Port()},
+		platform.DatagramCodec{CallerPort: settings.DataAddress.Port()},
 	)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	clock := process.Clock{}
 	store, err := platform.NewStore(platform.StoreOptions{
 		URL: settings.PlatformURL, LocalAddress: settings.DataAddress.Addr(),
-		Unreadable: func(err error) {
+		OnUnreadable: func(err error) {
 			if logWriter.Wanted(clock.Now(), unreadableLogClass) {
 				logger.WithError(err).Warn("registration unreadable")
 			}
--- a/entry/disturbed_test.go
+++ b/entry/disturbed_test.go
@@ -60,13 +60,13 @@
 func TestLostDoubledAndReorderedDatagrams(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 91, 3)
-	disturbed := standin.Disturbance{Lose: 0.05, Double: 0.05, Reorder: 0.05}
+	disturbed := standin.Impairment{Loss: 0.05, Duplicate: 0.05, Reorder: 0.05}
 	for n := range byte(6) {
 		target, _ := f.target(n + 1)
-		target.Disturb(disturbed, uint64(n))
+		target.SetImpairment(disturbed, uint64(n))
 	}
 	f.until("a request is answered", func() bool { return f.request(1) == standin.Answered })
-	f.caller.Disturb(disturbed, 99)
+	f.caller.SetImpairment(disturbed, 99)
 	told := f.ask(1000, 400)
 	f.assertToldTruly(told)
 	answered := 0
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -39,7 +39,7 @@
 		flows = append(flows, flow)
 	}
 	f.vms[0].cancel()
-	for n := uint64(1000); f.fabric.Ready() > 1; n++ {
+	for n := uint64(1000); f.fabric.ReadyCount() > 1; n++ {
 		for i, flow := range flows {
 			qt.Assert(t, flow.Request(t.Context(), n*10+uint64(i), patience), qt.Equals, standin.Answered)
 		}
@@ -75,7 +75,7 @@
 	f := newFixture(t, 83, 1)
 	f.target(1)
 	f.until("a request is answered", func() bool { return f.request(1) == standin.Answered })
-	f.store.Hush()
+	f.store.SkipEvents()
 	f.store.PutRoutes(5, nil)
 	f.until("the route is dropped", func() bool { return f.request(2) == standin.Refused })
 }
@@ -86,7 +86,7 @@
 	f.target(1)
 	f.until("a request is answered", func() bool { return f.request(1) == standin.Answered })
 	// The fleet's secret is the only thing that can be read.
-	f.store.SetGate(func(key string) bool { return key == "baobabstep/secret" })
+	f.store.SetReadFilter(func(key string) bool { return key == "baobabstep/secret" })
 	f.vms = append(f.vms, f.startVM(2))
 	f.until("the second VM is ready", func() bool { return f.vms[1].node.Ready() == nil })
 	fromPeer := func(fields map[string]any) bool { return fields["source"] == "peer" }
--- a/entry/evacuation_test.go
+++ b/entry/evacuation_test.go
@@ -41,7 +41,7 @@
 	f := newFixture(t, 95, 2)
 	_, r := f.targetIn(1, "b")
 	f.until("a request is answered", func() bool { return f.request(1) == standin.Answered })
-	f.store.LagCopies(true)
+	f.store.SetReplicaLag(true)
 	f.store.Evacuate("b")
 	f.until("both VMs hold it", func() bool { return f.isEvacuated("b") })
 	qt.Assert(t, f.request(2), qt.Equals, standin.Refused)
@@ -54,15 +54,15 @@
 		f.vms[n] = f.startVM(byte(n + 1))
 		if n == 0 {
 			f.until("the first VM holds it", func() bool { return len(f.vms[0].evacuated()) == 1 })
-			f.store.SetGate(func(key string) bool { return key == "baobabstep/secret" })
+			f.store.SetReadFilter(func(key string) bool { return key == "baobabstep/secret" })
 		}
 	}
 	f.until("both hold it again", func() bool { return f.isEvacuated("b") })
-	f.until("both are ready", func() bool { return f.fabric.Ready() == 2 })
+	f.until("both are ready", func() bool { return f.fabric.ReadyCount() == 2 })
 	qt.Assert(t, f.request(3), qt.Equals, standin.Refused)
 
-	f.store.SetGate(nil)
-	f.store.LagCopies(false)
+	f.store.SetReadFilter(nil)
+	f.store.SetReplicaLag(false)
 	f.store.EndEvacuation("b")
 	f.until("it is taken back", func() bool { return f.isEvacuated() && f.request(4) == standin.Answered })
 	f.store.Deregister(r.ID)
--- a/entry/help_test.go
+++ b/entry/help_test.go
@@ -130,7 +130,7 @@
 	f.store.PutRoutes(1, []standin.Route{{Address: service, Service: "fixtures"}})
 	var known []standin.VM
 	for n := range vms {
-		known = append(known, standin.VM{Data: f.at(1, byte(n+1), dataPort), Ready: f.at(1, byte(n+1), readyPort)})
+		known = append(known, standin.VM{DataAddress: f.at(1, byte(n+1), dataPort), ReadyAddress: f.at(1, byte(n+1), readyPort)})
 	}
 	f.fabric = standin.NewFabric(known)
 	for n := range vms {
@@ -150,7 +150,7 @@
 			qt.Check(t, <-vm.ended, qt.IsNil)
 		}
 	})
-	f.until("all VMs are ready", func() bool { return f.fabric.Ready() == vms })
+	f.until("all VMs are ready", func() bool { return f.fabric.ReadyCount() == vms })
 	return f
 }
 
@@ -164,7 +164,7 @@
 			ReadyAddress: f.at(1, n, readyPort), ConfigApplyMS: 3000, DrainMS: 3000, FlowMaxS: 60, StopGraceS: 6,
 		},
 	}
-	sockets, err := packet.NewSegments(packet.SocketOptions{Listen: s.DataAddress}, platform.Datagrams{CallerPort: dataPort})
+	sockets, err := packet.NewSegments(packet.SocketOptions{Listen: s.DataAddress}, platform.DatagramCodec{CallerPort: dataPort})
 	qt.Assert(f.t, err, qt.IsNil)
 	store, err := platform.NewStore(platform.StoreOptions{URL: s.PlatformURL})
 	qt.Assert(f.t, err, qt.IsNil)
@@ -191,8 +191,8 @@
 	f.t.Helper()
 	r := standin.Registration{ID: 0x1000 + uint64(n), Service: "fixtures", Address: f.at(2, n, targetPort), DataCentre: "a"}
 	t, err := standin.NewTarget(standin.TargetOptions{
-		ID: r.ID, Service: r.Service, Address: r.Address, CallerPort: dataPort, Work: time.Millisecond, Slots: 2,
-		Ran: func(_, request uint64, _ netip.AddrPort) { f.runs.add(request) },
+		ID: r.ID, Service: r.Service, Address: r.Address, CallerPort: dataPort, RequestDuration: time.Millisecond, Slots: 2,
+		OnRequest: func(_, request uint64, _ netip.AddrPort) { f.runs.add(request) },
 	})
 	qt.Assert(f.t, err, qt.IsNil)
 	f.t.Cleanup(t.Close)
--- a/entry/lines_bench_test.go
+++ b/entry/lines_bench_test.go
@@ -119,7 +119,7 @@
 		})
 	}
 	n.router.SetRegistrations(benchEpoch, list)
-	conns, err := packet.NewSegments(packet.SocketOptions{Listen: netip.MustParseAddrPort("127.0.0.1:0")}, platform.Datagrams{CallerPort: 1})
+	conns, err := packet.NewSegments(packet.SocketOptions{Listen: netip.MustParseAddrPort("127.0.0.1:0")}, platform.DatagramCodec{CallerPort: 1})
 	qt.Assert(b, err, qt.IsNil)
 	b.Cleanup(func() { _ = conns[0].Close() })
 	client, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(conns[0].Address()))
--- a/entry/operations_test.go
+++ b/entry/operations_test.go
@@ -77,7 +77,7 @@
 				flows = append(flows, flow)
 			}
 		}
-		dark.SetDark(true)
+		dark.SetSilent(true)
 		ends := make(chan standin.Outcome)
 		for n, flow := range flows {
 			go func() {
--- a/entry/restore_test.go
+++ b/entry/restore_test.go
@@ -60,10 +60,10 @@
 	f.until("a request is answered", func() bool { return f.request(1) == standin.Answered })
 	f.until("the fleet has a secret", func() bool { return len(f.store.Value(secretKey)) > 0 })
 	lost = f.store.Value(secretKey)
-	f.store.SetGate(func(string) bool { return false })
+	f.store.SetReadFilter(func(string) bool { return false })
 	f.store.Write(secretKey, other)
 	f.store.Restore(f.store.Backup())
-	f.store.SetGate(nil)
+	f.store.SetReadFilter(nil)
 	return lost
 }
 
@@ -80,7 +80,7 @@
 		other := []byte("a secret of a VM that started just now")
 		f.withoutSecret(other)
 		f.until("the VM noticed", func() bool { return f.logged("secret replaced", func(map[string]any) bool { return true }) })
-		f.store.SetGate(func(key string) bool { return key == secretKey })
+		f.store.SetReadFilter(func(key string) bool { return key == secretKey })
 		f.vms = append(f.vms, f.startVM(2))
 		f.until("both hear each other", func() bool {
 			return f.logged("routing table in force", func(fields map[string]any) bool { return fields["source"] == "peer" })
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -17,7 +17,7 @@
 	f := newFixture(t, 93, 1)
 	f.target(1)
 	f.until("a request is answered", func() bool { return f.request(1) == standin.Answered })
-	f.store.LagCopies(true)
+	f.store.SetReplicaLag(true)
 	f.store.PutRoutes(5, nil)
 	f.until("the route is dropped", func() bool { return f.request(2) == standin.Refused })
 	f.vms = append(f.vms, f.startVM(2))
@@ -37,13 +37,13 @@
 	f := newFixture(t, 94, 1)
 	f.target(1)
 	f.until("a request is answered", func() bool { return f.request(1) == standin.Answered })
-	copies := f.store.Copies()
+	copies := f.store.ReplicaReads()
 	f.vms = append(f.vms, f.startVM(2))
 	f.until("the second VM is ready", func() bool { return f.vms[1].node.Ready() == nil })
 	f.until("it can hear the first", func() bool {
 		return f.logged("peers can be heard", func(fields map[string]any) bool { return fields["vm"] == "vm-2" })
 	})
-	qt.Assert(t, f.store.Copies()-copies, qt.Equals, 3) // routes, targets, secret
+	qt.Assert(t, f.store.ReplicaReads()-copies, qt.Equals, 3) // routes, targets, secret
 }
 
 func firstLine(lines []line, message string) map[string]any {
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -105,9 +105,9 @@
 		return
 	}
 	f.mark(t, func(time.Time) {})
-	t.SetDark(true)
+	t.SetSilent(true)
 	sleep(ctx, faultTime(r))
-	t.SetDark(false)
+	t.SetSilent(false)
 	f.mark(t, func(time.Time) {})
 }
 
@@ -171,7 +171,7 @@
 }
 
 func compactStore(ctx context.Context, f *fleet, _ *rand.Rand) {
-	f.store.Hush()
+	f.store.SkipEvents()
 	sleep(ctx, time.Second)
 	f.store.Compact()
 	f.judge.uneasy(time.Now())
@@ -194,7 +194,7 @@
 	f.store.SetFault(standin.FaultNone)
 	f.judge.uneasy(time.Now())
 	sleep(ctx, upTo(r, writeAgainTime))
-	f.store.WriteAgain()
+	f.store.RepeatLostWrites()
 }
 
 func upTo(r *rand.Rand, most time.Duration) time.Duration {
@@ -228,7 +228,7 @@
 		return
 	}
 	f.mark(t, func(now time.Time) { t.leaving = now })
-	t.SetDark(true)
+	t.SetSilent(true)
 	sleep(ctx, faultTime(r))
 	f.leave(t)
 	again := t.registration
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -107,7 +107,7 @@
 	for n := range services {
 		f.routes = append(f.routes, standin.Route{Address: serviceAddress(n), Service: services[n]})
 	}
-	f.store.LimitCold(coldPerSecond, coldLasts, services...)
+	f.store.AddColdLimits(coldPerSecond, coldLasts, services...)
 	f.putRoutes()
 	for n := range o.Targets {
 		if err := f.addTarget(n+1, services[min(n%4/3, 1)], dataCentres[n%len(dataCentres)]); err != nil {
@@ -116,7 +116,7 @@
 	}
 	var known []standin.VM
 	for n := range o.VMs {
-		known = append(known, standin.VM{Data: f.at(vmNet, n+1, dataPort), Ready: f.at(vmNet, n+1, readyPort)})
+		known = append(known, standin.VM{DataAddress: f.at(vmNet, n+1, dataPort), ReadyAddress: f.at(vmNet, n+1, readyPort)})
 	}
 	f.fabric = standin.NewFabric(known)
 	for n := range o.VMs {
@@ -172,8 +172,8 @@
 	r.ID = f.nextID
 	f.judge.startedCold(r.ID, time.Now(), r.ColdFor)
 	t, err := standin.NewTarget(standin.TargetOptions{
-		ID: r.ID, Service: r.Service, Address: r.Address, CallerPort: dataPort, Work: 10 * time.Millisecond, Slots: 8,
-		Ran: f.judge.ran, Accepted: func(target uint64) { f.judge.accepted(target, time.Now()) },
+		ID: r.ID, Service: r.Service, Address: r.Address, CallerPort: dataPort, RequestDuration: 10 * time.Millisecond, Slots: 8,
+		OnRequest: f.judge.ran, OnFlow: func(target uint64) { f.judge.accepted(target, time.Now()) },
 	})
 	if err != nil {
 		return err
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -128,9 +128,9 @@
 
 func (f *fleet) untilReady(ctx context.Context, vms int) error {
 	deadline := time.Now().Add(readyTimeout)
-	for f.fabric.Ready() < vms {
+	for f.fabric.ReadyCount() < vms {
 		if time.Now().After(deadline) {
-			return errors.Newf("after %v %d of %d VMs are ready", readyTimeout, f.fabric.Ready(), vms)
+			return errors.Newf("after %v %d of %d VMs are ready", readyTimeout, f.fabric.ReadyCount(), vms)
 		}
 		sleep(ctx, 50*time.Millisecond)
 	}
@@ -246,9 +246,9 @@
 func (f *fleet) fill(r *Report) *Report {
 	for _, t := range f.targets {
 		stats := t.Stats()
-		r.Foreign += stats.Foreign
-		if stats.Damaged > 0 {
-			f.judge.note("target %x got %d damaged segments", t.registration.ID, stats.Damaged)
+		r.Foreign += stats.Misrouted
+		if stats.Corrupted > 0 {
+			f.judge.note("target %x got %d damaged segments", t.registration.ID, stats.Corrupted)
 		}
 	}
 	r.Answered, r.Refused = f.judge.outcomes[standin.Answered], f.judge.outcomes[standin.Refused]
