--- a/core/quota/design_test.go
+++ b/core/quota/design_test.go
@@ -7,52 +7,56 @@
 	"time"
 )
 
-// design is a way to divide a limit: whether a VM may use the target now.
-type design interface {
-	// allows decides for VM n, whose clock shows at and whose view is given; now is
+// limiter is a method to divide a limit. It decides whether a VM may use the
+// target now.
+type limiter interface {
+	// allows decides for VM n with the given view, whose clock shows at; now is
 	// the true time.
 	allows(now, at time.Time, n int, view *View) bool
-	used(now, at time.Time, n int)
-	// bytes returns what the design sends in a second, of all VMs for one target.
-	bytes(vms int) float64
+	record(now, at time.Time, n int)
+	// bytesPerSecond returns the network traffic of all VMs together for one
+	// target.
+	bytesPerSecond(vms int) float64
 }
 
-// few is what the package does.
-type few struct {
+// sharesLimiter is the method of this package.
+type sharesLimiter struct {
 	limit  Limit
 	meters []Meter
 	shares []Share
 }
 
-func (d *few) allows(now, _ time.Time, n int, view *View) bool {
-	d.shares[n] = view.Of(designKey, d.limit)
-	return d.meters[n].Allows(now, d.shares[n])
+func (l *sharesLimiter) allows(now, _ time.Time, n int, view *View) bool {
+	l.shares[n] = view.Of(limiterKey, l.limit)
+	return l.meters[n].Allows(now, l.shares[n])
 }
-func (d *few) used(now, _ time.Time, n int) { d.meters[n].Use(now, d.shares[n]) }
-func (d *few) bytes(int) float64            { return 0 }
+func (l *sharesLimiter) record(now, _ time.Time, n int) { l.meters[n].Use(now, l.shares[n]) }
+func (l *sharesLimiter) bytesPerSecond(int) float64     { return 0 }
 
-// slots gives each part of a second to one VM, by the time of day.
-type slots struct {
+// timeSlotLimiter assigns each time slot of a second to one VM, by its wall
+// clock.
+type timeSlotLimiter struct {
 	limit Limit
 	last  []int64
 }
 
-func (d *slots) slot(at time.Time) int64 {
-	return at.UnixNano() / int64(float64(time.Second)/d.limit.PerSecond)
+func (l *timeSlotLimiter) slot(at time.Time) int64 {
+	return at.UnixNano() / int64(float64(time.Second)/l.limit.PerSecond)
 }
 
-func (d *slots) allows(_, at time.Time, n int, view *View) bool {
-	slot := d.slot(at)
-	return view.Settled && d.last[n] != slot && view.rank(designKey+uint64(slot)*977) == 0
+func (l *timeSlotLimiter) allows(_, at time.Time, n int, view *View) bool {
+	slot := l.slot(at)
+	return view.Settled && l.last[n] != slot && view.rank(limiterKey+uint64(slot)*977) == 0
 }
-func (d *slots) used(_, at time.Time, n int) { d.last[n] = d.slot(at) }
-func (d *slots) bytes(int) float64           { return 0 }
+func (l *timeSlotLimiter) record(_, at time.Time, n int) { l.last[n] = l.slot(at) }
+func (l *timeSlotLimiter) bytesPerSecond(int) float64    { return 0 }
 
-// reserved lets the first VM of a view hand out the uses of the next second with
+// grantLimiter lets the first VM of a view grant the uses of the next second with
 // its heartbeats, in turn to all VMs that it hears.
-type reserved struct {
+type grantLimiter struct {
 	limit Limit
-	// granted are the uses that each VM holds, and until when.
+	// granted is the number of uses that each VM holds, until when they are
+	// valid.
 	granted []int
 	until   []time.Time
 	beatAt  []time.Time
@@ -61,58 +65,59 @@
 }
 
 const (
-	designKey  = 42
-	designBeat = 200 * time.Millisecond
-	// grantBytes is what a grant adds to a heartbeat: the target and a count.
+	limiterKey    = 42
+	grantInterval = 200 * time.Millisecond
+	// grantBytes is the size that a grant adds to a heartbeat: the target and a
+	// count.
 	grantBytes = 8
 )
 
-func (d *reserved) allows(now, _ time.Time, n int, view *View) bool {
-	if view.Settled && view.rank(designKey) == 0 && now.Sub(d.beatAt[n]) >= designBeat {
-		d.beatAt[n] = now
-		for range int(d.limit.PerSecond * designBeat.Seconds()) {
-			to := d.next[n] % len(d.granted)
-			d.next[n]++
-			if d.hears(n, to) {
-				d.granted[to]++
-				d.until[to] = now.Add(time.Second)
+func (l *grantLimiter) allows(now, _ time.Time, n int, view *View) bool {
+	if view.Settled && view.rank(limiterKey) == 0 && now.Sub(l.beatAt[n]) >= grantInterval {
+		l.beatAt[n] = now
+		for range int(l.limit.PerSecond * grantInterval.Seconds()) {
+			to := l.next[n] % len(l.granted)
+			l.next[n]++
+			if l.hears(n, to) {
+				l.granted[to]++
+				l.until[to] = now.Add(time.Second)
 			}
 		}
 	}
-	return d.granted[n] > 0 && now.Before(d.until[n])
+	return l.granted[n] > 0 && now.Before(l.until[n])
 }
-func (d *reserved) used(_, _ time.Time, n int) { d.granted[n]-- }
-func (d *reserved) bytes(vms int) float64 {
-	return float64(vms) * grantBytes / designBeat.Seconds()
+func (l *grantLimiter) record(_, _ time.Time, n int) { l.granted[n]-- }
+func (l *grantLimiter) bytesPerSecond(vms int) float64 {
+	return float64(vms) * grantBytes / grantInterval.Seconds()
 }
 
-// trouble is what differs between VMs while a design is played.
-type trouble struct {
+// faultScenario sets the differences between VMs during a simulation.
+type faultScenario struct {
 	name string
-	// view returns the view of a VM at a time since the beginning, and skew how far
-	// its clock is off.
+	// view returns the view of a VM at a time since the start, skew the offset of
+	// its clock.
 	view func(n, vms int, at time.Duration) *View
 	skew func(n int) time.Duration
 }
 
 func wholeView(n, vms int) *View { return viewOf(n, upTo(vms)...) }
 
-// in tells whether a time lies in the seconds of trouble.
-func in(at time.Duration) bool { return at >= 5*time.Second && at < 10*time.Second }
+// inFaultPeriod reports whether a time lies in the period with faults.
+func inFaultPeriod(at time.Duration) bool { return at >= 5*time.Second && at < 10*time.Second }
 
-func designTroubles() []trouble {
+func faultScenarios() []faultScenario {
 	onTime := func(int) time.Duration { return 0 }
-	calm := func(n, vms int, _ time.Duration) *View { return wholeView(n, vms) }
-	return []trouble{
-		{"calm", calm, onTime},
+	sameViews := func(n, vms int, _ time.Duration) *View { return wholeView(n, vms) }
+	return []faultScenario{
+		{"calm", sameViews, onTime},
 		{"a fifth of the VMs is new and unknown to the others", func(n, vms int, at time.Duration) *View {
-			if old := vms * 4 / 5; in(at) && n < old {
+			if old := vms * 4 / 5; inFaultPeriod(at) && n < old {
 				return viewOf(n, upTo(old)...)
 			}
 			return wholeView(n, vms)
 		}, onTime},
-		{"halves take each other for gone", func(n, vms int, at time.Duration) *View {
-			if !in(at) {
+		{"each half considers the other gone", func(n, vms int, at time.Duration) *View {
+			if !inFaultPeriod(at) {
 				return wholeView(n, vms)
 			}
 			v := &View{Self: vmID(n), Settled: true}
@@ -123,7 +128,7 @@
 			}
 			return v
 		}, onTime},
-		{"clocks of a third are off by up to two seconds", calm, func(n int) time.Duration {
+		{"clocks of a third are off by up to two seconds", sameViews, func(n int) time.Duration {
 			if n%3 != 0 {
 				return 0
 			}
@@ -132,24 +137,25 @@
 	}
 }
 
-// playDesign returns the most uses in any second, and the mean of a calm second.
-func playDesign(d design, tr trouble, vms int) (worst int, mean float64) {
-	draw := rand.New(rand.NewPCG(1, uint64(vms)))
-	// Each VM sees eight flows a second; all want the target.
+// simulate returns the maximum number of uses in any second, and the mean per
+// second.
+func simulate(l limiter, scenario faultScenario, vms int) (worst int, mean float64) {
+	random := rand.New(rand.NewPCG(1, uint64(vms)))
+	// Each VM gets eight flows a second, all for the same target.
 	const step, length, flows = 20 * time.Millisecond, 15 * time.Second, 8.0
 	var uses []time.Duration
 	views := make(map[bool][]*View)
-	for _, troubled := range []bool{false, true} {
+	for _, faulty := range []bool{false, true} {
 		for n := range vms {
-			views[troubled] = append(views[troubled], tr.view(n, vms, map[bool]time.Duration{true: 6 * time.Second}[troubled]))
+			views[faulty] = append(views[faulty], scenario.view(n, vms, map[bool]time.Duration{true: 6 * time.Second}[faulty]))
 		}
 	}
 	for at := time.Duration(0); at < length; at += step {
 		now := start.Add(at)
-		for _, n := range draw.Perm(vms) {
-			own := now.Add(tr.skew(n))
-			if d.allows(now, own, n, views[in(at)][n]) && draw.Float64() < flows*step.Seconds() {
-				d.used(now, own, n)
+		for _, n := range random.Perm(vms) {
+			own := now.Add(scenario.skew(n))
+			if l.allows(now, own, n, views[inFaultPeriod(at)][n]) && random.Float64() < flows*step.Seconds() {
+				l.record(now, own, n)
 				uses = append(uses, at)
 			}
 		}
@@ -164,30 +170,30 @@
 	return worst, float64(len(uses)) / length.Seconds()
 }
 
-// BenchmarkDesigns plays three ways to divide a limit of six a second, of which a
-// second may see 14 at most: worst/s is the most that any second saw, mean/s what
-// was used, B/s what all VMs send for one target.
-func BenchmarkDesigns(b *testing.B) {
-	limit := allowance(6)
+// BenchmarkLimiters compares three methods to divide a limit of six a second with
+// a bound of 14 in any second. worst/s is the maximum in any second, mean/s the
+// mean use, B/s the traffic of all VMs for one target.
+func BenchmarkLimiters(b *testing.B) {
+	limit := coldTargetLimit(6)
 	for _, vms := range []int{8, 26, 65} {
-		designs := map[string]func(tr trouble) design{
-			"few VMs":    func(trouble) design { return &few{limit, make([]Meter, vms), make([]Share, vms)} },
-			"time slots": func(trouble) design { return &slots{limit, make([]int64, vms)} },
-			"reservations": func(tr trouble) design {
-				d := &reserved{limit: limit, granted: make([]int, vms), until: make([]time.Time, vms), beatAt: make([]time.Time, vms), next: make([]int, vms)}
-				d.hears = func(from, to int) bool { return hears(tr.view(from, vms, 6*time.Second), to) }
-				return d
+		limiters := map[string]func(scenario faultScenario) limiter{
+			"few VMs":    func(faultScenario) limiter { return &sharesLimiter{limit, make([]Meter, vms), make([]Share, vms)} },
+			"time slots": func(faultScenario) limiter { return &timeSlotLimiter{limit, make([]int64, vms)} },
+			"reservations": func(scenario faultScenario) limiter {
+				l := &grantLimiter{limit: limit, granted: make([]int, vms), until: make([]time.Time, vms), beatAt: make([]time.Time, vms), next: make([]int, vms)}
+				l.hears = func(from, to int) bool { return hears(scenario.view(from, vms, 6*time.Second), to) }
+				return l
 			},
 		}
-		for _, tr := range designTroubles() {
+		for _, scenario := range faultScenarios() {
 			for _, name := range []string{"few VMs", "time slots", "reservations"} {
-				b.Run(name+"/"+tr.name+fmt.Sprintf("/%d", vms), func(b *testing.B) {
+				b.Run(name+"/"+scenario.name+fmt.Sprintf("/%d", vms), func(b *testing.B) {
 					for range b.N {
-						d := designs[name](tr)
-						worst, mean := playDesign(d, tr, vms)
+						l := limiters[name](scenario)
+						worst, mean := simulate(l, scenario, vms)
 						b.ReportMetric(float64(worst), "worst/s")
 						b.ReportMetric(mean, "mean/s")
-						b.ReportMetric(d.bytes(vms), "B/s")
+						b.ReportMetric(l.bytesPerSecond(vms), "B/s")
 					}
 				})
 			}
@@ -195,7 +201,7 @@
 	}
 }
 
-// hears tells whether a VM of a view can be heard.
+// hears reports whether a view contains a VM.
 func hears(v *View, n int) bool {
 	if vmID(n) == v.Self {
 		return true
--- a/core/quota/meter.go
+++ b/core/quota/meter.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Meter remembers what one VM used of its share. The zero value is ready.
+// Meter tracks how much of its share one VM has used. The zero value is ready to
+// use.
 type Meter struct {
-	// used are the times of the last uses, the latest first.
+	// used holds the times of the last uses, latest first.
 	used []time.Time
 }
 
-// Allows tells whether one more use stays within the share.
+// Allows reports whether one more use stays within the share.
 func (m *Meter) Allows(now time.Time, s Share) bool {
 	switch {
 	case s.Count < 1:
@@ -19,7 +20,7 @@
 	return now.Sub(m.used[s.Count-1]) >= s.Every
 }
 
-// Use notes one use, allowed or not.
+// Use records one use, whether it was allowed or not.
 func (m *Meter) Use(now time.Time, s Share) {
 	keep := min(len(m.used), max(0, s.Count-1))
 	m.used = append([]time.Time{now}, m.used[:keep]...)
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,29 +1,30 @@
-// Package quota divides a limit that a whole fleet shares among its VMs, without
-// a coordinator.
+// Package quota divides a rate limit of the whole fleet among its VMs without a
+// coordinator.
 //
 // # The model
 //
-// A limit concerns one thing, such as a target that bears six new requests a
-// second. The VMs have an order for it, by rendezvous hash. The first six may use
-// one in any second, all others none; of three VMs each may use two. A VM decides
-// alone:
+// A limit applies to one resource, such as a target that accepts six new requests
+// a second. All VMs rank themselves for the resource by rendezvous hash. In a large
+// fleet the first six VMs may each use one request in any second and the others none;
+// in a fleet of three each VM may use two. A VM decides on its own:
 //
-//	view of the fleet + key of the thing + limit -> Share -> Meter
+//	view of the fleet + key of the resource + limit -> Share -> Meter
 //
-// No clock is compared with another, and nothing is sent.
+// VMs exchange no messages and don't compare their clocks.
 //
-// # Why the sum holds
+// # Why the total stays below the bound
 //
-// VMs that have the same view choose the same few, whose shares together stay
-// below the limit and below half of the bound. Views differ while VMs come, are
-// cut off or go; then some VM is chosen that should not be. Three things keep the
-// sum of all below the bound:
+// VMs with the same view select the same VMs, whose shares together stay below the
+// limit and below half of the bound. Views differ while VMs join, are cut off or
+// leave, and then VMs outside of the selection may use a share too. Three rules keep
+// the total below the bound:
 //
-//   - A view only grows in the short term: a VM that falls silent keeps its place
-//     for as long as the caller remembers it, so a partition changes no share.
-//   - A VM that may not know the others yet, or hears none of them, uses nothing;
+//   - In the short term a view only grows: a silent VM stays in it for as long as
+//     the caller remembers that VM, so a partition changes no share.
+//   - A VM that may not know all others yet, or hears none of them, uses nothing;
 //     see [View.Settled].
-//   - As many VMs again as are chosen may use their shares in the same second.
+//   - The other half of the bound leaves room for as many additional VMs as are
+//     selected to use their shares in the same second.
 package quota
 
 import (
@@ -34,36 +35,36 @@
 	"baobabstep/core/mix"
 )
 
-// Limit is what a fleet may do to one thing.
+// Limit is the rate limit of the fleet for one resource.
 type Limit struct {
-	// PerSecond is what the thing bears.
+	// PerSecond is the rate that the resource accepts.
 	PerSecond float64
-	// Bound is never to be exceeded in any second.
+	// Bound is the number of uses that must not be exceeded in any second.
 	Bound float64
 }
 
-// View is what a VM knows of those that divide a limit.
+// View is what a VM knows about the VMs that share a limit.
 type View struct {
 	Self baobabstep.VMID
-	// Others are all other VMs that were heard of lately, live or not.
+	// Others are all other VMs that were heard of recently, whether alive or not.
 	Others []baobabstep.VMID
-	// Settled tells whether the VM can be taken to know all others.
+	// Settled reports whether the VM can be assumed to know all others.
 	Settled bool
 }
 
-// Share is what one VM may use: Count in any span of Every. The zero value is
-// nothing.
+// Share is what one VM may use: Count uses in any interval of length Every. The
+// zero value permits none.
 type Share struct {
 	Count int
 	Every time.Duration
 }
 
-// margin is the part of the bound that VMs with the same view use at most.
-const margin = 0.5
+// boundShare is the maximum part of the bound that VMs with the same view use.
+const boundShare = 0.5
 
-// Of returns this VM's share of a limit on the thing that key stands for.
+// Of returns this VM's share of a limit on the resource with the given key.
 func (v *View) Of(key uint64, l Limit) Share {
-	usable := min(l.PerSecond, l.Bound*margin)
+	usable := min(l.PerSecond, l.Bound*boundShare)
 	if !v.Settled || usable <= 0 || l.Bound < 1 {
 		return Share{}
 	}
@@ -74,9 +75,9 @@
 		}
 		return Share{Count: 1, Every: time.Duration(math.Ceil(float64(time.Second) / usable))}
 	}
-	whole, vms := int(usable), 1+len(v.Others)
-	count := whole / vms
-	if rank < whole%vms {
+	total, vms := int(usable), 1+len(v.Others)
+	count := total / vms
+	if rank < total%vms {
 		count++
 	}
 	if count == 0 {
@@ -85,7 +86,7 @@
 	return Share{Count: count, Every: time.Second}
 }
 
-// rank returns how many others come before this VM for a key.
+// rank returns how many other VMs rank before this one for a key.
 func (v *View) rank(key uint64) (before int) {
 	own := weight(v.Self, key)
 	for _, other := range v.Others {
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -12,8 +12,9 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// allowance is what the sheet of a deployment says of cold targets.
-func allowance(perSecond float64) Limit {
+// coldTargetLimit returns the limit that the settings of a deployment set for
+// cold targets.
+func coldTargetLimit(perSecond float64) Limit {
 	return Limit{PerSecond: perSecond, Bound: 1.5*perSecond + 5}
 }
 
@@ -37,8 +38,9 @@
 	return all
 }
 
-// Callers want as many flows at a cold target as it bears, and the target must not
-// get more: VMs with one view use between half of what it bears and all of it.
+// Callers want as many flows at a cold target as it accepts, but the target must
+// not get more. VMs with the same view must together use between half of the
+// limit and all of it.
 func TestSharesAddUp(t *testing.T) {
 	for _, vms := range []int{1, 3, 8, 26, 77, 195} {
 		var views []*View
@@ -47,7 +49,7 @@
 		}
 		for _, rate := range []float64{0.3, 1, 1.5, 4, 6, 10, 20} {
 			t.Run(fmt.Sprintf("%d VMs, %v a second", vms, rate), func(t *testing.T) {
-				limit := allowance(rate)
+				limit := coldTargetLimit(rate)
 				for key := range uint64(20) {
 					sum := 0.0
 					for _, view := range views {
@@ -63,17 +65,17 @@
 	}
 }
 
-func TestNothingToUse(t *testing.T) {
+func TestZeroShare(t *testing.T) {
 	settled := viewOf(0, 0, 1)
 	for _, test := range []struct {
 		name  string
 		view  *View
 		limit Limit
 	}{
-		{"a VM that may not know the others", &View{Self: 1}, allowance(100)},
-		{"a limit of nothing", settled, allowance(0)},
-		{"a negative limit", settled, allowance(-3)},
-		{"a bound that no single use keeps", settled, Limit{PerSecond: 5, Bound: 0.9}},
+		{"a VM that may not know the others", &View{Self: 1}, coldTargetLimit(100)},
+		{"a limit of zero", settled, coldTargetLimit(0)},
+		{"a negative limit", settled, coldTargetLimit(-3)},
+		{"a bound below one use", settled, Limit{PerSecond: 5, Bound: 0.9}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			qt.Assert(t, test.view.Of(1, test.limit), qt.Equals, Share{})
@@ -102,18 +104,19 @@
 	})
 }
 
-// TestSmallFleetWhateverItsViews plays three VMs that each hold one of two views,
-// the whole or any part of it, and may change to the other between any two uses. All
-// of them want to use the target in every step of a quarter of a second. Whatever
-// the views and the order of changes, no second sees more than the bound.
-func TestSmallFleetWhateverItsViews(t *testing.T) {
+// Three VMs each hold one of two views, the whole fleet or any part of it, and
+// may change to the other between any two uses. All of them try to use the target
+// in every step of a quarter of a second. For all views and orders of changes, no
+// second may exceed the bound.
+func TestBoundHoldsForAllViews(t *testing.T) {
 	const vms, steps, stepsInSecond = 3, 8, 4
 	views := make([][]*View, vms)
 	for n := range vms {
 		a, b := (n+1)%vms, (n+2)%vms
 		views[n] = []*View{viewOf(n), viewOf(n, a), viewOf(n, b), viewOf(n, a, b)}
 	}
-	// history is the views that a VM holds: the first until a step, then the second.
+	// history is the views that a VM holds: first until the step change, then
+	// second.
 	type history struct{ first, second, change int }
 	var histories []history
 	for second := range 4 {
@@ -124,7 +127,7 @@
 			}
 		}
 	}
-	limit := allowance(2)
+	limit := coldTargetLimit(2)
 	most := 0
 	play := func(held [vms]history) int {
 		var meters [vms]Meter
--- a/core/request/admit.go
+++ b/core/request/admit.go
@@ -6,59 +6,60 @@
 	"baobabstep"
 )
 
-// admitFirst decides about a request that has no entry here.
-func (g *group) admitFirst(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
+// admitNew admits or refuses a request that has no entry here.
+func (g *group) admitNew(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	g.engine.stats.arrived.Add(1)
-	g.serving(now)
+	g.noteDispatching(now)
 	if g.engine.paused.Load() {
-		g.engine.stats.finished(baobabstep.CodeOutcomeUnknown)
-		g.tellUnknown(now, p, out)
+		g.engine.stats.countResult(baobabstep.CodeOutcomeUnknown)
+		g.sendUnknown(now, p, out)
 		return
 	}
-	en := g.add(now, p, stateQueued)
+	en := g.addEntry(now, p, stateQueued)
 	if en == nil {
-		// Without an entry nothing stops a copy from being run.
-		g.engine.stats.finished(baobabstep.CodeOutcomeUnknown)
-		g.tellUnknown(now, p, out)
+		// Without an entry nothing prevents a copy from being run.
+		g.engine.stats.countResult(baobabstep.CodeOutcomeUnknown)
+		g.sendUnknown(now, p, out)
 		return
 	}
 	en.class = g.service.ClassOf(p.Flow.Caller.Addr(), p.Class)
 	en.idempotent = p.Idempotent
 	en.deadline = now.Add(g.timeout(p))
-	en.claim.window = g.window(p)
-	if code := g.admissible(now, en, p); code != baobabstep.CodeOK {
+	en.claim.window = g.claimWindow(p)
+	if code := g.checkAdmission(now, en, p); code != baobabstep.CodeOK {
 		g.refuseNotRun(now, en, result{code: code, retryAfter: g.retryAfter(now)}, out)
 		return
 	}
 	en.payload = append([]byte(nil), p.Payload...)
 	en.needsClaim = g.needsClaim(now, en)
 	if en.needsClaim {
-		g.beginClaim(now, en, en.claim.window, out)
+		g.startClaim(now, en, en.claim.window, out)
 		if en.claim.failed {
-			g.unknown(now, en, out)
+			g.finishUnknown(now, en, out)
 			return
 		}
 	}
 	g.enqueue(now, en, out)
 }
 
-// needsClaim tells whether the claim has to be owned before a hand-over. An
-// idempotent request needs it only while another VM was the dispatcher a short
-// time ago: that one may have told the caller of a copy "not run".
+// needsClaim reports whether the claim must be owned before the request is sent
+// to a target. An idempotent request needs it only if another VM was the
+// dispatcher recently, since that VM may have answered a copy with "not run".
 func (g *group) needsClaim(now time.Time, en *entry) bool {
-	return !en.idempotent || g.changedWithin(now, en.claim.window)
+	return !en.idempotent || g.dispatcherChangedWithin(now, en.claim.window)
 }
 
-// window is how far back another dispatcher may have taken a copy: of a first
-// transmission only as long as copies of one packet can be apart.
-func (g *group) window(p *baobabstep.Packet) time.Duration {
+// claimWindow returns how far back another dispatcher may have received a copy of
+// the request. For a first transmission that is limited by the delay between
+// copies of one packet.
+func (g *group) claimWindow(p *baobabstep.Packet) time.Duration {
 	if p.Seq == 0 {
 		return g.engine.opts.Settle
 	}
 	return g.engine.opts.Remember
 }
 
-// timeout returns the time that the request has left.
+// timeout returns the time left for the request.
 func (g *group) timeout(p *baobabstep.Packet) time.Duration {
 	d := p.Timeout
 	if d <= 0 {
@@ -78,13 +79,14 @@
 	defaultQueueLimit = 4
 	minRetryAfter     = 50 * time.Millisecond
 	maxRetryAfter     = 30 * time.Second
-	// returnShare is the share of the slots' work that is promised to
-	// callers which were refused.
-	returnShare = 0.15
+	// refusedReturnShare is the share of the slots' capacity that retryAfter
+	// assigns to the retries of refused callers.
+	refusedReturnShare = 0.15
 )
 
-// admissible tells whether the request can be expected to finish in time.
-func (g *group) admissible(now time.Time, en *entry, p *baobabstep.Packet) baobabstep.Code {
+// checkAdmission returns CodeOK if the request can be expected to finish in time,
+// or else the code of its refusal.
+func (g *group) checkAdmission(now time.Time, en *entry, p *baobabstep.Packet) baobabstep.Code {
 	if g.engine.stopping.Load() && len(g.set.members) < 2 {
 		return baobabstep.CodeStopping
 	}
@@ -93,10 +95,10 @@
 		return baobabstep.CodeRefusedNotRun
 	}
 	q := &g.queues[en.class&1]
-	if q.n >= g.queueLimit() {
+	if q.numWaiting >= g.queueLimit() {
 		return baobabstep.CodeOverloaded
 	}
-	if !q.fair(p.Flow.Caller.Addr(), g.queueLimit()) {
+	if !q.callerMayAdd(p.Flow.Caller.Addr(), g.queueLimit()) {
 		return baobabstep.CodeOverloaded
 	}
 	wait := g.expectedWait(en.class)
@@ -104,8 +106,8 @@
 		return baobabstep.CodeOverloaded
 	}
 	limit := time.Duration(g.engine.opts.UrgentWait * float64(g.capacity.serviceTime))
-	// What had to wait for a take-over is worked off first.
-	tookOver := now.Sub(g.took) < 3*maxTakeOver
+	// The backlog of a dispatcher change is worked off first.
+	tookOver := now.Sub(g.tookOverAt) < 3*maxTakeOver
 	if en.class == baobabstep.ClassUrgent && wait > limit && !tookOver {
 		return baobabstep.CodeOverloaded
 	}
@@ -120,11 +122,11 @@
 	return limit * g.capacity.slots
 }
 
-// expectedWait estimates the time in the queue of a request that arrives now:
-// urgent ones wait for the urgent ones before them, slowed down by the share
-// of slots that ordinary ones get; those wait for all.
+// expectedWait estimates the queueing time of a request that arrives now. Urgent
+// requests wait for the urgent ones before them, slowed down by the share of
+// slots that ordinary requests get. Ordinary requests wait for all queued ones.
 func (g *group) expectedWait(class baobabstep.Class) time.Duration {
-	urgent, ordinary := g.queues[0].n, g.queues[1].n
+	urgent, ordinary := g.queues[0].numWaiting, g.queues[1].numWaiting
 	ahead := float64(urgent + ordinary)
 	if class == baobabstep.ClassUrgent {
 		ahead = float64(urgent)
@@ -135,27 +137,29 @@
 	return time.Duration(ahead * float64(g.capacity.serviceTime) / float64(max(1, g.capacity.slots)))
 }
 
-// retryAfter returns when a refused caller should come back. Each refusal books
-// its return behind those before it, at a rate that is a share of what the
-// slots can serve: callers that all came back as soon as the present queue is
-// gone would only be refused again, and more of them each time. The factor of
-// 0.75 to 1.25 breaks up callers that were refused together elsewhere.
+// retryAfter returns the delay after which a refused caller should retry. Each
+// refusal reserves a retry time after those of earlier refusals, at a rate that
+// is a share of the slots' capacity. If all callers retried as soon as the
+// present queue is empty, they would only be refused again, in growing numbers.
+// The random factor of 0.75 to 1.25 spreads out callers that were refused
+// together by different VMs.
 func (g *group) retryAfter(now time.Time) time.Duration {
 	g.refreshCapacity(now)
-	if g.returns.Before(now) {
-		g.returns = now
+	if g.returnsBookedUntil.Before(now) {
+		g.returnsBookedUntil = now
 	}
-	if g.returns.Sub(now) < maxRetryAfter {
-		perSlot := float64(g.capacity.serviceTime) / returnShare
-		g.returns = g.returns.Add(time.Duration(perSlot / float64(max(1, g.capacity.slots))))
+	if g.returnsBookedUntil.Sub(now) < maxRetryAfter {
+		perSlot := float64(g.capacity.serviceTime) / refusedReturnShare
+		g.returnsBookedUntil = g.returnsBookedUntil.Add(time.Duration(perSlot / float64(max(1, g.capacity.slots))))
 	}
-	d := g.returns.Sub(now) + g.expectedWait(baobabstep.ClassOrdinary)
+	d := g.returnsBookedUntil.Sub(now) + g.expectedWait(baobabstep.ClassOrdinary)
 	d = min(max(d, minRetryAfter), maxRetryAfter)
 	return d*3/4 + time.Duration(g.shard.rand.Int64N(int64(d/2)))
 }
 
-// tellUnknown tells a caller for whose request no entry can be made or used.
-func (g *group) tellUnknown(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
+// sendUnknown refuses a request with "outcome unknown" if no entry can be created
+// or used for it.
+func (g *group) sendUnknown(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	out.Caller(&baobabstep.Packet{
 		Kind:       baobabstep.KindRefusal,
 		Flow:       p.Flow,
@@ -165,25 +169,24 @@
 	})
 }
 
-// refuseNotRun ends a request that was not run. The caller is told so once no
-// copy can be run any more, which takes the claim; without it the outcome is
-// unknown.
+// refuseNotRun ends a request that was not run. The caller is told so only once
+// the claim is owned, which ensures that no copy can run later. Without the claim
+// the outcome is unknown.
 func (g *group) refuseNotRun(now time.Time, en *entry, r result, out *baobabstep.Outbox) {
-	// An idempotent request is handed over without a claim, so another
-	// dispatcher of a short time ago may have done so, and so may one in a
-	// data centre that is cut off.
-	unproved := en.idempotent && (g.changedWithin(now, en.claim.window) || !g.fleet.whole(g.service))
-	if en.maybeRan || unproved {
-		g.unknown(now, en, out)
+	// Idempotent requests are sent to targets without a claim. A former
+	// dispatcher, or one in an unreachable data centre, may have done so.
+	mayHaveRun := en.idempotent && (g.dispatcherChangedWithin(now, en.claim.window) || !g.fleet.allReachable(g.service))
+	if en.maybeRan || mayHaveRun {
+		g.finishUnknown(now, en, out)
 		return
 	}
 	en.payload = nil
-	en.verdict = r
+	en.pendingRefusal = r
 	en.setState(stateRefusing)
-	g.beginClaim(now, en, en.claim.window, out)
+	g.startClaim(now, en, en.claim.window, out)
 	switch {
 	case en.claim.failed:
-		g.unknown(now, en, out)
+		g.finishUnknown(now, en, out)
 	case en.claim.owned:
 		en.finish(now, r, out)
 	default:
@@ -191,34 +194,35 @@
 	}
 }
 
-// expireWaiting repeats a claim that was not answered, and gives up waiting
-// requests whose time is over.
+// expireWaiting resends an unanswered claim, and refuses a waiting request whose
+// time is over.
 func (g *group) expireWaiting(now time.Time, en *entry, out *baobabstep.Outbox) {
-	if en.claim.begun && !en.claim.owned {
-		if now.Sub(en.claim.since) >= g.engine.opts.ClaimTimeout {
-			g.unknown(now, en, out)
+	if en.claim.started && !en.claim.owned {
+		if now.Sub(en.claim.startedAt) >= g.engine.opts.ClaimTimeout {
+			g.finishUnknown(now, en, out)
 			return
 		}
-		if now.Sub(en.claim.sent) >= g.engine.opts.ClaimResend {
+		if now.Sub(en.claim.sentAt) >= g.engine.opts.ClaimResend {
 			g.sendClaim(now, en, out)
 		}
 	}
-	if en.state == stateQueued && !now.Before(en.giveUpAt()) {
+	if en.state == stateQueued && !now.Before(en.latestStart()) {
 		g.refuseNotRun(now, en, result{code: baobabstep.CodeDeadlineExceeded, retryAfter: g.retryAfter(now)}, out)
 		return
 	}
 	en.setTimer(en.waitTimer(now))
 }
 
-// giveUpAt is when a queued request can no longer finish in time.
-func (en *entry) giveUpAt() time.Time {
+// latestStart returns the time after which a queued request can no longer finish
+// before its deadline.
+func (en *entry) latestStart() time.Time {
 	return en.deadline.Add(-en.group.capacity.serviceTime / 2)
 }
 
-// waitTimer is the next time at which a waiting request needs attention.
+// waitTimer returns the next time at which a waiting request has to be checked.
 func (en *entry) waitTimer(now time.Time) time.Time {
-	due := en.giveUpAt()
-	if en.state == stateRefusing || (en.claim.begun && !en.claim.owned) {
+	due := en.latestStart()
+	if en.state == stateRefusing || (en.claim.started && !en.claim.owned) {
 		resend := now.Add(en.group.engine.opts.ClaimResend)
 		if en.state == stateRefusing || resend.Before(due) {
 			due = resend
@@ -227,22 +231,22 @@
 	return due
 }
 
-// cancelUnknown notes a cancel that overtook its request.
-func (g *group) cancelUnknown(now time.Time, p *baobabstep.Packet) {
+// recordEarlyCancel stores a cancel that arrived before its request.
+func (g *group) recordEarlyCancel(now time.Time, p *baobabstep.Packet) {
 	if p.FromTarget {
 		return
 	}
-	en := g.add(now, p, stateDone)
+	en := g.addEntry(now, p, stateDone)
 	if en == nil {
 		return
 	}
 	en.cancelled = true
-	// Another dispatcher may have run it; nothing is proved here.
+	// Another dispatcher may have run the request.
 	en.result.code = baobabstep.CodeOutcomeUnknown
-	en.remember(now)
+	en.scheduleTombstone(now)
 }
 
-// cancel ends a request at its caller's wish.
+// cancel ends a request that its caller cancelled.
 func (g *group) cancel(now time.Time, en *entry, out *baobabstep.Outbox) {
 	switch en.state {
 	case stateQueued, stateBackoff:
@@ -251,11 +255,11 @@
 		if en.cancelled {
 			return
 		}
-		// The slot stays taken until the target answers, since the
-		// target may go on: giving it away now would only be refused.
+		// The slot stays taken until the target answers. The target may still be
+		// running the request and would refuse another one in this slot.
 		en.cancelled = true
 		g.cancelAttempt(en, out)
-		g.tellCancelled(en, out)
+		g.sendCancelled(en, out)
 		en.setTimer(earlier(en.deadline, now.Add(cancelGrace)))
 	default:
 	}
@@ -264,7 +268,7 @@
 // cancelGrace is how long a target may take to stop a cancelled attempt.
 const cancelGrace = 200 * time.Millisecond
 
-func (g *group) tellCancelled(en *entry, out *baobabstep.Outbox) {
+func (g *group) sendCancelled(en *entry, out *baobabstep.Outbox) {
 	out.Caller(&baobabstep.Packet{
 		Kind:    baobabstep.KindRefusal,
 		Flow:    en.key,
--- a/core/request/answer.go
+++ b/core/request/answer.go
@@ -6,30 +6,30 @@
 	"baobabstep"
 )
 
-// parts collects an answer that comes in several packets.
-type parts struct {
+// partialAnswer collects an answer that arrives in several packets.
+type partialAnswer struct {
 	payloads [][]byte
 	missing  int
 	bytes    int
 }
 
-// answered handles a part of an answer from a target.
-func (g *group) answered(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
-	if !p.FromTarget || !en.matches(p) {
+// handleAnswer handles an answer, or a part of one, from a target.
+func (g *group) handleAnswer(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
+	if !p.FromTarget || !en.matchesAttempt(p) {
 		g.engine.stats.lateAnswers.Add(1)
 		return
 	}
 	if p.Parts > 1 {
-		g.answeredPart(now, en, p, out)
+		g.handleAnswerPart(now, en, p, out)
 		return
 	}
-	g.succeed(now, en, [][]byte{append([]byte{}, p.Payload...)}, out)
+	g.finishWithAnswer(now, en, [][]byte{append([]byte{}, p.Payload...)}, out)
 }
 
-// answeredPart adds one part. The caller gets parts only once all are here, so
-// that it never takes a piece for the whole.
-func (g *group) answeredPart(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
-	t := &en.parts
+// handleAnswerPart adds one part. The caller gets the parts only once all have
+// arrived, so that it never mistakes an incomplete answer for a complete one.
+func (g *group) handleAnswerPart(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
+	t := &en.partial
 	if t.payloads == nil {
 		t.payloads = make([][]byte, p.Parts)
 		t.missing = int(p.Parts)
@@ -39,79 +39,80 @@
 		return
 	}
 	n := len(p.Payload)
-	if t.bytes+n > g.engine.opts.MaxAnswer || g.shard.pending+n > g.engine.opts.MaxPending {
-		g.tooLarge(now, en, out)
+	if t.bytes+n > g.engine.opts.MaxAnswer || g.shard.partialBytes+n > g.engine.opts.MaxPending {
+		g.finishTooLarge(now, en, out)
 		return
 	}
 	t.payloads[p.Part] = append([]byte{}, p.Payload...)
 	t.bytes += n
 	t.missing--
-	g.shard.pending += n
+	g.shard.partialBytes += n
 	if t.missing == 0 {
 		whole := t.payloads
-		g.succeed(now, en, whole, out)
+		g.finishWithAnswer(now, en, whole, out)
 	}
 }
 
-// tooLarge ends a request that ran, but whose answer cannot be held.
-func (g *group) tooLarge(now time.Time, en *entry, out *baobabstep.Outbox) {
+// finishTooLarge ends a request that ran but whose answer exceeds the limits.
+func (g *group) finishTooLarge(now time.Time, en *entry, out *baobabstep.Outbox) {
 	en.maybeRan = true
-	en.releaseSlot(now, baobabstep.CodeCancelled)
+	en.concludeAttempt(now, baobabstep.CodeCancelled)
 	g.cancelAttempt(en, out)
 	en.finish(now, result{code: baobabstep.CodeAnswerTooLarge}, out)
 	g.dispatch(now, out)
 }
 
 func (en *entry) dropParts() {
-	en.group.shard.pending -= en.parts.bytes
-	en.parts = parts{}
+	en.group.shard.partialBytes -= en.partial.bytes
+	en.partial = partialAnswer{}
 }
 
-// succeed gives the whole answer to the caller.
-func (g *group) succeed(now time.Time, en *entry, answer [][]byte, out *baobabstep.Outbox) {
-	en.releaseSlot(now, baobabstep.CodeOK)
+// finishWithAnswer sends the complete answer to the caller.
+func (g *group) finishWithAnswer(now time.Time, en *entry, answer [][]byte, out *baobabstep.Outbox) {
+	en.concludeAttempt(now, baobabstep.CodeOK)
 	g.retryTokens = min(maxRetryTokens, g.retryTokens+g.service.RetryShare)
 	en.finish(now, result{code: baobabstep.CodeOK, answer: answer}, out)
 	en.keepAnswer()
 	g.dispatch(now, out)
 }
 
-// partOverhead is the cost of keeping a part besides its bytes.
+// partOverhead is the memory in bytes for keeping a part in addition to its
+// payload.
 const partOverhead = 64
 
-// keepAnswer keeps the answer for retransmissions and drops the oldest ones
-// that no longer fit.
+// keepAnswer keeps the answer for retransmissions and drops the oldest answers
+// that exceed the limit.
 func (en *entry) keepAnswer() {
 	s := en.group.shard
 	for _, part := range en.result.answer {
-		en.result.kept += len(part) + partOverhead
+		en.result.keptBytes += len(part) + partOverhead
 	}
-	s.kept += en.result.kept
-	s.keptQueue = append(s.keptQueue, en)
-	for len(s.keptQueue) > 0 {
-		oldest := s.keptQueue[0]
-		if s.kept <= s.engine.opts.MaxPending && oldest.result.kept > 0 {
+	s.keptBytes += en.result.keptBytes
+	s.keptAnswers = append(s.keptAnswers, en)
+	for len(s.keptAnswers) > 0 {
+		oldest := s.keptAnswers[0]
+		if s.keptBytes <= s.engine.opts.MaxPending && oldest.result.keptBytes > 0 {
 			return
 		}
-		s.keptQueue[0] = nil
-		s.keptQueue = s.keptQueue[1:]
+		s.keptAnswers[0] = nil
+		s.keptAnswers = s.keptAnswers[1:]
 		oldest.dropAnswer()
 	}
 }
 
 func (en *entry) dropAnswer() {
-	en.group.shard.kept -= en.result.kept
-	en.result.kept = 0
+	en.group.shard.keptBytes -= en.result.keptBytes
+	en.result.keptBytes = 0
 	en.result.answer = nil
 }
 
-// answeredForeign delivers the answer to a request whose owner is gone: the
-// witness has the claim, and the attempt that the claim allows is the only
-// one that can have been handed over.
-func (g *group) answeredForeign(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
+// handleForeignAnswer delivers the answer to a request whose owner has left. This
+// VM stored the claim, and the attempt that the claim permits is the only one
+// that can have been sent.
+func (g *group) handleForeignAnswer(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	single := p.Parts <= 1
-	mine := en.state == stateStored && !en.idempotent && p.FromTarget && p.Attempt == en.attempt
-	if !mine || !single {
+	expected := en.state == stateStored && !en.idempotent && p.FromTarget && p.Attempt == en.attempt
+	if !expected || !single {
 		g.engine.stats.lateAnswers.Add(1)
 		return
 	}
--- a/core/request/bench_test.go
+++ b/core/request/bench_test.go
@@ -9,8 +9,8 @@
 	"baobabstep/core/target"
 )
 
-// BenchmarkRequest is the cost of one request at its dispatcher, from the
-// caller's packet to the answer, without any claim.
+// BenchmarkRequest measures one request at its dispatcher, from the caller's
+// packet to the answer, without a claim.
 func BenchmarkRequest(b *testing.B) {
 	s := testService(15)
 	c := &baobabstep.Config{Version: 1, Services: []baobabstep.Service{s}}
@@ -43,16 +43,16 @@
 	}
 }
 
-// BenchmarkForward is the cost of passing one request on to its dispatcher.
+// BenchmarkForward measures forwarding one request to its dispatcher.
 func BenchmarkForward(b *testing.B) {
-	w := newBench(b, 9, 15, 1)
-	e := w.vms[w.outsider()].engine
-	p := &baobabstep.Packet{Kind: baobabstep.KindRequest, Flow: w.key(1), Idempotent: true}
+	bed := newTestBed(b, 9, 15, 1)
+	e := bed.vms[bed.nonMember()].engine
+	p := &baobabstep.Packet{Kind: baobabstep.KindRequest, Flow: bed.key(1), Idempotent: true}
 	var out baobabstep.Outbox
 	b.ReportAllocs()
 	for b.Loop() {
 		out = out[:0]
 		p.Flow.Number++
-		e.Handle(w.now, p, &out)
+		e.Handle(bed.now, p, &out)
 	}
 }
--- a/core/request/ledger.go
+++ b/core/request/ledger.go
@@ -7,23 +7,23 @@
 	"baobabstep"
 )
 
-// state is where a request is on its way.
+// state is the stage that a request has reached.
 type state uint8
 
 const (
-	// stateQueued awaits a slot, or the claim that it needs before one.
+	// stateQueued waits for a slot, or for the claim that it needs first.
 	stateQueued state = iota
-	// stateRunning was handed to a target.
+	// stateRunning was sent to a target.
 	stateRunning
-	// stateBackoff awaits its next attempt.
+	// stateBackoff waits for its next attempt.
 	stateBackoff
-	// stateRefusing awaits the claim without which "not run" may not be said.
+	// stateRefusing waits for the claim that a "not run" refusal requires.
 	stateRefusing
-	// stateDone has told its caller the result.
+	// stateDone has sent its result to the caller.
 	stateDone
-	// stateMoved belongs to another VM.
+	// stateMoved is owned by another VM.
 	stateMoved
-	// stateStored was claimed by another VM; this VM is a witness.
+	// stateStored was claimed by another VM, and this VM is a witness.
 	stateStored
 )
 
@@ -42,120 +42,121 @@
 	class baobabstep.Class
 
 	idempotent bool
-	// needsClaim is set if the claim has to be owned before a hand-over.
+	// needsClaim is set if the claim must be owned before the first attempt.
 	needsClaim bool
 	arrived    time.Time
 	deadline   time.Time
 	payload    []byte
 
-	// attempt numbers the hand-overs; target, sentAt belong to the last.
+	// attempt counts the attempts. target and sentAt belong to the last one.
 	attempt uint16
 	target  baobabstep.TargetID
 	sentAt  time.Time
-	// slot is set while a slot of target is taken, judged once the last
-	// attempt was counted as evidence about target.
-	slot, judged bool
-	// maybeRan is set once an attempt ended in a way that does not prove
-	// that it was not run.
+	// holdsSlot is set while the attempt has a slot of target. outcomeReported is
+	// set once the outcome of the last attempt was reported for target.
+	holdsSlot, outcomeReported bool
+	// maybeRan is set once an attempt ended in a way that doesn't rule out that
+	// it ran.
 	maybeRan bool
-	// cancelled is set once the caller left while an attempt was running.
+	// cancelled is set once the caller has cancelled a running attempt.
 	cancelled bool
 	// waiting is set while the entry is in a queue.
 	waiting bool
 
-	claim   claim
-	verdict result
-	result  result
-	parts   parts
-	// owner is the VM that the request belongs to, in moved and stored.
-	owner baobabstep.VMID
-	token uint32
-	// adopted is set once the owner is gone and this VM answers for it.
+	claim          claim
+	pendingRefusal result
+	result         result
+	partial        partialAnswer
+	// owner is the VM that owns the request in stateMoved and stateStored.
+	owner      baobabstep.VMID
+	ownerToken uint32
+	// adopted is set once the owner has left and this VM answers for it.
 	adopted bool
 
-	// due is the time of the entry's timer, at index timer of the heap.
-	due   time.Time
-	timer int
+	// due is the time of the entry's timer, timerIndex its index in the heap.
+	due        time.Time
+	timerIndex int
 }
 
-// result is what the caller is told.
+// result is the result sent to the caller.
 type result struct {
 	code       baobabstep.Code
 	retryAfter time.Duration
-	// answer is kept for retransmissions while there is room.
-	answer [][]byte
-	kept   int
+	// answer is kept for retransmissions within the limit of MaxPending.
+	answer    [][]byte
+	keptBytes int
 }
 
-// add puts a new entry into the ledger, or returns nil when it is full.
-func (g *group) add(now time.Time, p *baobabstep.Packet, st state) *entry {
-	if g.shard.entries >= g.engine.opts.MaxEntries {
+// addEntry adds a new entry to the ledger. It returns nil if the shard is full.
+func (g *group) addEntry(now time.Time, p *baobabstep.Packet, st state) *entry {
+	if g.shard.numEntries >= g.engine.opts.MaxEntries {
 		g.engine.stats.ledgerFull.Add(1)
 		return nil
 	}
-	g.shard.entries++
-	en := &entry{group: g, key: p.Flow, hash: g.engine.hash(p.Flow), state: st, arrived: now, timer: -1}
+	g.shard.numEntries++
+	en := &entry{group: g, key: p.Flow, hash: g.engine.hash(p.Flow), state: st, arrived: now, timerIndex: -1}
 	g.ledger[p.Flow] = en
 	if st.open() {
-		g.open++
+		g.numOpen++
 	}
 	return en
 }
 
-// setState moves an entry and keeps the count of open requests.
+// setState changes the state of an entry and updates the count of open requests.
 func (en *entry) setState(st state) {
 	if en.state.open() && !st.open() {
-		en.group.open--
+		en.group.numOpen--
 	}
 	if !en.state.open() && st.open() {
-		en.group.open++
+		en.group.numOpen++
 	}
 	en.state = st
 	if st != stateQueued {
-		en.group.leaveQueue(en)
+		en.group.removeFromQueue(en)
 	}
 }
 
-// remove takes the entry out of the ledger.
+// remove deletes the entry from the ledger.
 func (en *entry) remove() {
-	if en.timer >= 0 {
-		heap.Remove(&en.group.shard.timers, en.timer)
+	if en.timerIndex >= 0 {
+		heap.Remove(&en.group.shard.timers, en.timerIndex)
 	}
 	en.setState(stateDone)
 	en.dropAnswer()
 	en.dropParts()
-	en.group.shard.entries--
+	en.group.shard.numEntries--
 	delete(en.group.ledger, en.key)
 }
 
-// remember keeps the entry for retransmissions until it is left as a tombstone.
-func (en *entry) remember(now time.Time) {
+// scheduleTombstone keeps the entry for retransmissions for Settle, after which a
+// tombstone replaces it.
+func (en *entry) scheduleTombstone(now time.Time) {
 	en.payload = nil
 	en.setTimer(now.Add(en.group.engine.opts.Settle))
 }
 
-// finish tells the caller the result and keeps it.
+// finish ends a request, sends its result to the caller and keeps the result.
 func (en *entry) finish(now time.Time, r result, out *baobabstep.Outbox) {
-	en.releaseSlot(now, baobabstep.CodeCancelled)
+	en.concludeAttempt(now, baobabstep.CodeCancelled)
 	en.dropParts()
-	en.group.engine.stats.finished(r.code)
+	en.group.engine.stats.countResult(r.code)
 	en.result = r
 	en.setState(stateDone)
 	if !en.cancelled {
-		en.tell(out)
+		en.sendResult(out)
 	}
-	en.forgetClaim(out)
+	en.sendForget(out)
 	if r.code != baobabstep.CodeOK {
-		// A tombstone says the same as the entry, and a flood of refused
+		// A tombstone gives the same answer as the entry, and a flood of refused
 		// requests must not fill the ledger.
-		en.leaveTombstone(now)
+		en.replaceByTombstone(now)
 		return
 	}
-	en.remember(now)
+	en.scheduleTombstone(now)
 }
 
-// tell sends the result to the caller.
-func (en *entry) tell(out *baobabstep.Outbox) {
+// sendResult sends the result to the caller.
+func (en *entry) sendResult(out *baobabstep.Outbox) {
 	if en.result.code != baobabstep.CodeOK {
 		out.Caller(&baobabstep.Packet{
 			Kind:       baobabstep.KindRefusal,
@@ -182,38 +183,39 @@
 	}
 }
 
-// releaseSlot gives the slot of the last attempt back, and says once what
-// became of the attempt.
-func (en *entry) releaseSlot(now time.Time, code baobabstep.Code) {
-	if en.attempt == 0 || en.judged {
+// concludeAttempt releases the slot of the last attempt and reports the attempt's
+// outcome once.
+func (en *entry) concludeAttempt(now time.Time, code baobabstep.Code) {
+	if en.attempt == 0 || en.outcomeReported {
 		return
 	}
-	en.judged = true
-	en.group.noteLoss(code)
-	targets, took := en.group.engine.opts.Targets, now.Sub(en.sentAt)
-	if !en.slot {
-		targets.Outcome(now, en.target, code, took)
+	en.outcomeReported = true
+	en.group.updateLossRate(code)
+	targets, elapsed := en.group.engine.opts.Targets, now.Sub(en.sentAt)
+	if !en.holdsSlot {
+		targets.Outcome(now, en.target, code, elapsed)
 		return
 	}
-	en.slot = false
-	targets.SlotDone(now, en.target, code, took)
+	en.holdsSlot = false
+	targets.SlotDone(now, en.target, code, elapsed)
 }
 
-// noteLoss keeps the smoothed share of attempts that ended in silence.
-func (g *group) noteLoss(code baobabstep.Code) {
+// updateLossRate updates the smoothed share of attempts that ended without a
+// reply.
+func (g *group) updateLossRate(code baobabstep.Code) {
 	const weight = 0.01
-	g.lost -= weight * g.lost
+	g.lossRate -= weight * g.lossRate
 	if code == baobabstep.CodeOutcomeUnknown {
-		g.lost += weight
+		g.lossRate += weight
 	}
 }
 
-// yieldSlot gives the slot back while the attempt may still be answered.
-func (en *entry) yieldSlot(now time.Time) {
-	if !en.slot {
+// releaseSlotEarly releases the slot while the attempt may still be answered.
+func (en *entry) releaseSlotEarly(now time.Time) {
+	if !en.holdsSlot {
 		return
 	}
-	en.slot = false
+	en.holdsSlot = false
 	en.group.engine.opts.Targets.SlotDone(now, en.target, baobabstep.CodeCancelled, 0)
 }
 
@@ -225,36 +227,37 @@
 	}
 	switch p.Kind {
 	case baobabstep.KindRequest:
-		g.again(now, en, p, out)
+		g.handleCopy(now, en, p, out)
 	case baobabstep.KindAnswer:
-		g.answered(now, en, p, out)
+		g.handleAnswer(now, en, p, out)
 	case baobabstep.KindRefusal:
-		g.refusedByTarget(now, en, p, out)
+		g.handleTargetRefusal(now, en, p, out)
 	case baobabstep.KindCancel:
 		g.cancel(now, en, out)
 	default:
 	}
 }
 
-// again handles a further copy of a known request.
-func (g *group) again(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
+// handleCopy handles a further copy of a known request.
+func (g *group) handleCopy(now time.Time, en *entry, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	g.engine.stats.copies.Add(1)
 	if en.state != stateDone {
 		return
 	}
 	if en.result.code != baobabstep.CodeOK || len(en.result.answer) > 0 {
-		// A first transmission is a copy made on the way; the caller
-		// was told. A repeated one says that the result was lost.
+		// A first transmission with Seq 0 is a duplicate made by the network, and
+		// the caller already has the result. A retransmission means that the
+		// result was lost.
 		if p.Seq > 0 {
-			en.tell(out)
+			en.sendResult(out)
 		}
 		return
 	}
 	if p.Seq == 0 {
 		return
 	}
-	if !en.idempotent || g.admissible(now, en, p) != baobabstep.CodeOK {
-		g.tellUnknown(now, p, out)
+	if !en.idempotent || g.checkAdmission(now, en, p) != baobabstep.CodeOK {
+		g.sendUnknown(now, p, out)
 		return
 	}
 	en.maybeRan = true
@@ -272,13 +275,13 @@
 
 func (t timers) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].timer = i
-	t[j].timer = j
+	t[i].timerIndex = i
+	t[j].timerIndex = j
 }
 
 func (t *timers) Push(x any) {
 	en := x.(*entry)
-	en.timer = len(*t)
+	en.timerIndex = len(*t)
 	*t = append(*t, en)
 }
 
@@ -287,12 +290,12 @@
 	en := old[len(old)-1]
 	old[len(old)-1] = nil
 	*t = old[:len(old)-1]
-	en.timer = -1
+	en.timerIndex = -1
 	return en
 }
 
-// pop returns an entry whose time has come, or nil.
-func (t *timers) pop(now time.Time) *entry {
+// popDue removes and returns an entry whose timer is due, or returns nil.
+func (t *timers) popDue(now time.Time) *entry {
 	if len(*t) == 0 || (*t)[0].due.After(now) {
 		return nil
 	}
@@ -303,15 +306,15 @@
 func (en *entry) setTimer(due time.Time) {
 	en.due = due
 	t := &en.group.shard.timers
-	if en.timer >= 0 {
-		heap.Fix(t, en.timer)
+	if en.timerIndex >= 0 {
+		heap.Fix(t, en.timerIndex)
 		return
 	}
 	heap.Push(t, en)
 }
 
-// expire does what is due for an entry.
-func (g *group) expire(now time.Time, en *entry, out *baobabstep.Outbox) {
+// handleTimer handles the timer of an entry.
+func (g *group) handleTimer(now time.Time, en *entry, out *baobabstep.Outbox) {
 	switch en.state {
 	case stateQueued, stateRefusing:
 		g.expireWaiting(now, en, out)
@@ -323,6 +326,6 @@
 	case stateStored:
 		g.expireStored(now, en, out)
 	case stateDone, stateMoved:
-		en.leaveTombstone(now)
+		en.replaceByTombstone(now)
 	}
 }
--- a/core/request/model_test.go
+++ b/core/request/model_test.go
@@ -11,9 +11,10 @@
 	"baobabstep/core/target"
 )
 
-// model is a queue model of one service, without engines: it compares ways to
-// give slots to requests. Requests arrive at random VMs as a Poisson process
-// and take an exponential time; a target with no free slot refuses at once.
+// model is a queueing model of one service, without engines. It compares policies
+// for assigning requests to slots. Requests arrive at random VMs as a Poisson
+// process and take exponentially distributed times; a target without a free slot
+// refuses at once.
 type model struct {
 	rand        *rand.Rand
 	now         time.Duration
@@ -25,16 +26,16 @@
 	shed        int
 	messages    int
 	dispatchers []modelDispatcher
-	// local[vm][target] counts what each VM has at each target.
+	// local[vm][target] counts the requests that each VM has at each target.
 	local [][]int
-	// idle[vm] lists targets that told the VM of a free slot.
+	// idle[vm] lists targets that reported a free slot to the VM.
 	idle [][]int
 }
 
 type modelDispatcher struct {
-	first, n int
-	used     []int
-	queue    []time.Duration
+	first, numTargets int
+	used              []int
+	queue             []time.Duration
 }
 
 type modelEvent struct {
@@ -56,12 +57,12 @@
 }
 
 const (
-	modelSlots   = 2
-	modelService = 10 * time.Millisecond
-	modelHop     = 500 * time.Microsecond
-	// modelPatience is the longest wait before a request is shed.
-	modelPatience = 4 * modelService
-	modelBackoff  = 4 * time.Millisecond
+	modelSlots       = 2
+	modelServiceTime = 10 * time.Millisecond
+	modelOneWayDelay = 500 * time.Microsecond
+	// modelMaxWait is the longest wait before a request is shed.
+	modelMaxWait = 4 * modelServiceTime
+	modelBackoff = 4 * time.Millisecond
 )
 
 func newModel(vms, targets int) *model {
@@ -76,7 +77,7 @@
 	size := (targets + target.Groups(targets) - 1) / target.Groups(targets)
 	for first := 0; first < targets; first += size {
 		n := min(size, targets-first)
-		m.dispatchers = append(m.dispatchers, modelDispatcher{first: first, n: n, used: make([]int, n)})
+		m.dispatchers = append(m.dispatchers, modelDispatcher{first: first, numTargets: n, used: make([]int, n)})
 	}
 	return m
 }
@@ -86,11 +87,11 @@
 }
 
 func (m *model) run(load float64, length time.Duration, arrive func(at time.Duration)) {
-	gap := float64(modelService) / (load * float64(modelSlots*len(m.busy)))
+	meanGap := float64(modelServiceTime) / (load * float64(modelSlots*len(m.busy)))
 	var next func()
 	next = func() {
 		arrive(m.now)
-		m.after(time.Duration(m.rand.ExpFloat64()*gap), next)
+		m.after(time.Duration(m.rand.ExpFloat64()*meanGap), next)
 	}
 	m.after(0, next)
 	for m.now < length {
@@ -100,40 +101,40 @@
 	}
 }
 
-// serve starts a request at a target, or returns false if it refuses. done is
-// called when the slot is free again.
-func (m *model) serve(target int, arrived time.Duration, done func()) bool {
+// startService starts a request at a target, or returns false if the target
+// refuses. done is called when the slot is free again.
+func (m *model) startService(target int, arrived time.Duration, done func()) bool {
 	if m.busy[target] >= modelSlots {
 		return false
 	}
 	m.busy[target]++
 	m.served[target]++
 	m.delays = append(m.delays, m.now-arrived)
-	m.after(time.Duration(m.rand.ExpFloat64()*float64(modelService)), func() {
+	m.after(time.Duration(m.rand.ExpFloat64()*float64(modelServiceTime)), func() {
 		m.busy[target]--
 		done()
 	})
 	return true
 }
 
-// dispatcher gives each request to the least used target of its group.
-func (m *model) dispatcher(arrived time.Duration) {
+// viaDispatcher sends each request to the least used target of its group.
+func (m *model) viaDispatcher(arrived time.Duration) {
 	d := &m.dispatchers[m.rand.IntN(len(m.dispatchers))]
 	m.messages++
-	m.after(modelHop, func() {
+	m.after(modelOneWayDelay, func() {
 		d.queue = append(d.queue, arrived)
-		m.drain(d)
+		m.dispatchQueue(d)
 	})
 }
 
-func (m *model) drain(d *modelDispatcher) {
+func (m *model) dispatchQueue(d *modelDispatcher) {
 	for len(d.queue) > 0 {
-		if m.now-d.queue[0] > modelPatience {
+		if m.now-d.queue[0] > modelMaxWait {
 			m.shed++
 			d.queue = d.queue[1:]
 			continue
 		}
-		i := m.least(d.used)
+		i := m.leastUsed(d.used)
 		if d.used[i] >= modelSlots {
 			return
 		}
@@ -141,18 +142,18 @@
 		d.queue = d.queue[1:]
 		d.used[i]++
 		m.messages += 2
-		m.after(modelHop, func() {
-			m.serve(d.first+i, arrived, func() {
-				m.after(modelHop, func() {
+		m.after(modelOneWayDelay, func() {
+			m.startService(d.first+i, arrived, func() {
+				m.after(modelOneWayDelay, func() {
 					d.used[i]--
-					m.drain(d)
+					m.dispatchQueue(d)
 				})
 			})
 		})
 	}
 }
 
-func (m *model) least(used []int) int {
+func (m *model) leastUsed(used []int) int {
 	start := m.rand.IntN(len(used))
 	best := start
 	for k := range used {
@@ -163,8 +164,8 @@
 	return best
 }
 
-// twoChoices draws two targets and takes the one to which the VM itself has
-// sent less.
+// twoChoices picks two random targets and takes the one with fewer requests from
+// this VM.
 func (m *model) twoChoices(arrived time.Duration) {
 	vm := m.rand.IntN(m.vms)
 	m.attempt(vm, arrived, func() int {
@@ -176,7 +177,8 @@
 	}, func(int) {})
 }
 
-// joinIdle sends to a target that told this VM of a free slot, or to any.
+// joinIdle picks a target that reported a free slot to this VM, or else a random
+// one.
 func (m *model) joinIdle(arrived time.Duration) {
 	vm := m.rand.IntN(m.vms)
 	m.attempt(vm, arrived, func() int {
@@ -189,22 +191,22 @@
 	}, func(target int) {
 		to := m.rand.IntN(m.vms)
 		m.messages++
-		m.after(modelHop, func() { m.idle[to] = append(m.idle[to], target) })
+		m.after(modelOneWayDelay, func() { m.idle[to] = append(m.idle[to], target) })
 	})
 }
 
-// attempt tries targets until one serves or the patience ends.
+// attempt tries targets until one accepts the request or modelMaxWait is over.
 func (m *model) attempt(vm int, arrived time.Duration, pick func() int, free func(target int)) {
-	if m.now-arrived > modelPatience {
+	if m.now-arrived > modelMaxWait {
 		m.shed++
 		return
 	}
 	t := pick()
 	m.local[vm][t]++
 	m.messages += 2
-	back := func() { m.after(modelHop, func() { m.local[vm][t]-- }) }
-	m.after(modelHop, func() {
-		served := m.serve(t, arrived, func() {
+	back := func() { m.after(modelOneWayDelay, func() { m.local[vm][t]-- }) }
+	m.after(modelOneWayDelay, func() {
+		served := m.startService(t, arrived, func() {
 			back()
 			free(t)
 		})
@@ -212,7 +214,7 @@
 			return
 		}
 		back()
-		wait := modelHop + time.Duration(m.rand.Int64N(int64(modelBackoff)))
+		wait := modelOneWayDelay + time.Duration(m.rand.Int64N(int64(modelBackoff)))
 		m.after(wait, func() { m.attempt(vm, arrived, pick, free) })
 	})
 }
@@ -226,7 +228,7 @@
 	}
 }
 
-// BenchmarkDispatchModel gives the figures of docs/design/requests.md:
+// BenchmarkDispatchModel produces the figures of docs/design/requests.md:
 // go test -run - -bench DispatchModel -benchtime 1x ./core/request
 func BenchmarkDispatchModel(b *testing.B) {
 	sizes := []struct{ vms, targets int }{{6, 15}, {9, 15}, {200, 400}}
@@ -234,7 +236,7 @@
 		name string
 		pick func(m *model) func(time.Duration)
 	}{
-		{"dispatcher", func(m *model) func(time.Duration) { return m.dispatcher }},
+		{"dispatcher", func(m *model) func(time.Duration) { return m.viaDispatcher }},
 		{"two_choices", func(m *model) func(time.Duration) { return m.twoChoices }},
 		{"join_idle", func(m *model) func(time.Duration) { m.seedIdle(); return m.joinIdle }},
 	}
--- a/core/request/pause_test.go
+++ b/core/request/pause_test.go
@@ -10,17 +10,18 @@
 )
 
 // The dispatcher is paused with requests in its queue, since its only target is
-// silent. When the VM goes on, the slots are free by its clock, but the target
-// may have begun to leave meanwhile, and others may give out its slots. It hands
-// over nothing before it is sure of its place again, and then goes on.
+// silent. When the VM resumes, the slots look free by its clock, but the target
+// may have started to leave during the pause, and other VMs may assign its slots.
+// The dispatcher must not send anything to targets until the pause is over, and
+// then continue.
 func TestPausedDispatcherHandsOverNothing(t *testing.T) {
-	b := newBench(t, 3, 1, 1)
+	b := newTestBed(t, 3, 1, 1)
 	for _, target := range b.targets {
 		target.silent = true
 	}
 	d := b.members()[0]
 	for number := range uint64(6) {
-		b.ask(d, request{number: number + 1, idempotent: true, timeout: 5 * time.Second})
+		b.sendRequest(d, transmission{number: number + 1, idempotent: true, timeout: 5 * time.Second})
 	}
 	b.run(50 * time.Millisecond)
 	engine := b.vms[d].engine
--- a/core/request/queue.go
+++ b/core/request/queue.go
@@ -2,58 +2,59 @@
 
 import "net/netip"
 
-// queue holds waiting requests of one class in order of arrival. Entries that
-// stopped waiting stay in the slice until they reach its front.
+// queue holds the waiting requests of one class in order of arrival. Entries that
+// no longer wait stay in the slice until they reach its front.
 type queue struct {
 	entries []*entry
-	// n counts the entries that still wait; byCaller by caller address.
-	n        int
-	byCaller map[netip.Addr]int
+	// numWaiting counts the entries that still wait, perCaller the same by caller
+	// address.
+	numWaiting int
+	perCaller  map[netip.Addr]int
 }
 
-// fairMin is the number of waiting requests that each caller may have however
-// many callers there are.
-const fairMin = 4
+// minPerCaller is the number of waiting requests that each caller may have
+// regardless of the number of callers.
+const minPerCaller = 4
 
-// fair tells whether a caller may add one more: past half of the limit each
-// caller is held to its even share of the queue.
-func (q *queue) fair(caller netip.Addr, limit int) bool {
-	if 2*q.n < limit {
+// callerMayAdd reports whether a caller may add one more request. Once the queue
+// is half full, each caller is limited to an equal share of it.
+func (q *queue) callerMayAdd(caller netip.Addr, limit int) bool {
+	if 2*q.numWaiting < limit {
 		return true
 	}
-	share := limit / max(1, len(q.byCaller))
-	return q.byCaller[caller] < max(fairMin, share)
+	share := limit / max(1, len(q.perCaller))
+	return q.perCaller[caller] < max(minPerCaller, share)
 }
 
 func (q *queue) push(en *entry) {
-	if q.byCaller == nil {
-		q.byCaller = make(map[netip.Addr]int)
+	if q.perCaller == nil {
+		q.perCaller = make(map[netip.Addr]int)
 	}
 	q.entries = append(q.entries, en)
-	q.byCaller[en.key.Caller.Addr()]++
-	q.n++
+	q.perCaller[en.key.Caller.Addr()]++
+	q.numWaiting++
 }
 
-// left takes back the count of an entry that no longer waits.
-func (q *queue) left(en *entry) {
-	q.n--
+// decrement updates the counts for an entry that no longer waits.
+func (q *queue) decrement(en *entry) {
+	q.numWaiting--
 	caller := en.key.Caller.Addr()
-	q.byCaller[caller]--
-	if q.byCaller[caller] <= 0 {
-		delete(q.byCaller, caller)
+	q.perCaller[caller]--
+	if q.perCaller[caller] <= 0 {
+		delete(q.perCaller, caller)
 	}
 }
 
-// lookAhead bounds how many requests that await their claim are passed over.
-const lookAhead = 32
+// maxLookAhead limits how many requests that wait for their claim are skipped.
+const maxLookAhead = 32
 
-// ready returns the first waiting entry that may be handed over.
-func (q *queue) ready(takingOver bool) *entry {
+// firstReady returns the first waiting entry that may be sent to a target.
+func (q *queue) firstReady(takingOver bool) *entry {
 	for len(q.entries) > 0 && !q.entries[0].waiting {
 		q.entries[0] = nil
 		q.entries = q.entries[1:]
 	}
-	for _, en := range q.entries[:min(lookAhead, len(q.entries))] {
+	for _, en := range q.entries[:min(maxLookAhead, len(q.entries))] {
 		if takingOver && !en.idempotent {
 			continue
 		}
@@ -64,17 +65,17 @@
 	return nil
 }
 
-// enqueue queues an entry and hands over what can be.
-func (g *group) enqueueEntry(en *entry) {
+// addToQueue appends an entry to the queue of its class.
+func (g *group) addToQueue(en *entry) {
 	en.waiting = true
 	g.queues[en.class&1].push(en)
 }
 
-// leaveQueue takes an entry out of its queue.
-func (g *group) leaveQueue(en *entry) {
+// removeFromQueue marks an entry as no longer waiting.
+func (g *group) removeFromQueue(en *entry) {
 	if !en.waiting {
 		return
 	}
 	en.waiting = false
-	g.queues[en.class&1].left(en)
+	g.queues[en.class&1].decrement(en)
 }
--- a/core/request/random_test.go
+++ b/core/request/random_test.go
@@ -10,15 +10,17 @@
 	"baobabstep"
 )
 
-// world is a bench whose VMs see each change of the fleet at their own times.
-type world struct {
-	*bench
+// faultBed is a testBed whose VMs learn of each change of the fleet at different
+// times.
+type faultBed struct {
+	*testBed
 	t *rapid.T
-	// cut is the data centre that is cut off, or -1.
-	cut    int
-	number uint64
-	sent   []request
-	// goneAt is when a VM died or fell asleep.
+	// cutDataCentre is the index of the data centre that is cut off, or -1.
+	cutDataCentre int
+	lastNumber    uint64
+	sent          []transmission
+	// goneAt is when a VM died or was paused; index -1 is when a data centre was
+	// cut off.
 	goneAt map[int]time.Time
 }
 
@@ -28,81 +30,81 @@
 	viewSkew     = 800 * time.Millisecond
 )
 
-func newWorld(t *rapid.T) *world {
-	w := &world{bench: newBench(t, 7, 6, rapid.Uint64().Draw(t, "seed")), t: t, cut: -1, goneAt: make(map[int]time.Time)}
-	w.double = 0.1
-	w.drop = func(b *bench, from, to string, p *baobabstep.Packet) bool {
-		return w.severed(from, to) || b.rand.IntN(50) == 0
+func newFaultBed(t *rapid.T) *faultBed {
+	w := &faultBed{testBed: newTestBed(t, 7, 6, rapid.Uint64().Draw(t, "seed")), t: t, cutDataCentre: -1, goneAt: make(map[int]time.Time)}
+	w.duplicateShare = 0.1
+	w.drop = func(b *testBed, from, to string, p *baobabstep.Packet) bool {
+		return w.cutOff(from, to) || b.rand.IntN(50) == 0
 	}
 	return w
 }
 
-func (w *world) side(i int) bool { return i%3 == w.cut }
+func (w *faultBed) inCutDataCentre(i int) bool { return i%3 == w.cutDataCentre }
 
-func (w *world) severed(from, to string) bool {
+func (w *faultBed) cutOff(from, to string) bool {
 	var f, g int
 	if n, _ := fmt.Sscanf(from+" "+to, "vm-%d vm-%d", &f, &g); n < 2 {
 		return false
 	}
-	return w.side(f) != w.side(g)
+	return w.inCutDataCentre(f) != w.inCutDataCentre(g)
 }
 
-// changed lets each VM see the fleet as it is, each a little later than the
-// others: first the suspicion, then the death.
-func (w *world) changed() {
+// scheduleViewUpdates lets each VM learn the state of the fleet after its own
+// delay: first as suspect, then as dead.
+func (w *faultBed) scheduleViewUpdates() {
 	for i := range w.vms {
-		w.after(suspectAfter+w.skew(), func() { w.look(i) })
-		w.after(deadAfter+w.skew(), func() { w.look(i) })
+		w.after(suspectAfter+w.skew(), func() { w.updateView(i) })
+		w.after(deadAfter+w.skew(), func() { w.updateView(i) })
 	}
 }
 
-func (w *world) skew() time.Duration { return time.Duration(w.rand.Int64N(int64(viewSkew))) }
+func (w *faultBed) skew() time.Duration { return time.Duration(w.rand.Int64N(int64(viewSkew))) }
 
-// look gives VM i the view that a failure detector would have now.
-func (w *world) look(i int) {
+// updateView gives VM i the view that a failure detector would have now.
+func (w *faultBed) updateView(i int) {
 	v := w.vms[i]
-	if v.dead || v.asleep {
+	if v.dead || v.paused {
 		return
 	}
 	var members []int
 	for j, other := range w.vms {
 		since, gone := w.goneAt[j]
-		gone = gone && (other.dead || other.asleep)
-		if w.side(i) != w.side(j) {
+		gone = gone && (other.dead || other.paused)
+		if w.inCutDataCentre(i) != w.inCutDataCentre(j) {
 			gone, since = true, w.goneAt[-1]
 		}
 		switch age := w.now.Sub(since); {
 		case !gone:
 			members = append(members, j)
 		case age < deadAfter:
-			members = append(members, suspect(j))
+			members = append(members, suspectMember(j))
 		}
 	}
-	w.see(i, members...)
+	w.setView(i, members...)
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *faultBed) actions() map[string]func(*rapid.T) {
 	pick := func(t *rapid.T) int { return rapid.IntRange(0, len(w.vms)-1).Draw(t, "vm") }
 	return map[string]func(*rapid.T){
 		"ask": func(t *rapid.T) {
-			w.number++
-			r := request{
-				number:     w.number,
+			w.lastNumber++
+			r := transmission{
+				number:     w.lastNumber,
 				class:      baobabstep.Class(rapid.IntRange(0, 1).Draw(t, "class")),
 				idempotent: rapid.Bool().Draw(t, "idempotent"),
 				timeout:    time.Duration(rapid.IntRange(20, 3000).Draw(t, "timeout")) * time.Millisecond,
 			}
 			w.sent = append(w.sent, r)
 			for range rapid.IntRange(1, 2).Draw(t, "copies") {
-				w.ask(pick(t), r)
+				w.sendRequest(pick(t), r)
 			}
 		},
 		"ask many": func(t *rapid.T) {
 			for range rapid.IntRange(10, 60).Draw(t, "many") {
-				w.number++
-				r := request{number: w.number, class: baobabstep.Class(w.number % 2), idempotent: w.number%3 == 0, timeout: 200 * time.Millisecond}
+				w.lastNumber++
+				r := transmission{number: w.lastNumber, class: baobabstep.Class(w.lastNumber % 2), idempotent: w.lastNumber%3 == 0, timeout: 200 * time.Millisecond}
 				w.sent = append(w.sent, r)
-				w.ask(w.rand.IntN(len(w.vms)), r)
+				w.sendRequest(w.rand.IntN(len(w.vms)), r)
 			}
 		},
 		"ask again": func(t *rapid.T) {
@@ -111,22 +113,22 @@
 			}
 			i := len(w.sent) - 1 - rapid.IntRange(0, min(20, len(w.sent)-1)).Draw(t, "which")
 			w.sent[i].seq++
-			w.ask(pick(t), w.sent[i])
+			w.sendRequest(pick(t), w.sent[i])
 		},
 		"withdraw": func(t *rapid.T) {
 			if len(w.sent) == 0 {
 				t.Skip()
 			}
-			w.cancel(pick(t), w.sent[len(w.sent)-1].number)
+			w.sendCancel(pick(t), w.sent[len(w.sent)-1].number)
 		},
 		"die": func(t *rapid.T) {
 			i := pick(t)
-			if w.vms[i].dead || w.vms[i].asleep {
+			if w.vms[i].dead || w.vms[i].paused {
 				t.Skip()
 			}
 			w.vms[i].dead = true
 			w.goneAt[i] = w.now
-			w.changed()
+			w.scheduleViewUpdates()
 		},
 		"start": func(t *rapid.T) {
 			i := pick(t)
@@ -134,39 +136,39 @@
 				t.Skip()
 			}
 			w.start(i)
-			w.look(i)
-			w.changed()
+			w.updateView(i)
+			w.scheduleViewUpdates()
 		},
 		"sleep": func(t *rapid.T) {
 			i := pick(t)
-			if w.vms[i].dead || w.vms[i].asleep {
+			if w.vms[i].dead || w.vms[i].paused {
 				t.Skip()
 			}
-			w.vms[i].asleep = true
+			w.vms[i].paused = true
 			w.goneAt[i] = w.now
-			w.changed()
+			w.scheduleViewUpdates()
 		},
 		"wake": func(t *rapid.T) {
 			i := pick(t)
-			if !w.vms[i].asleep {
+			if !w.vms[i].paused {
 				t.Skip()
 			}
-			w.wake(i)
+			w.resume(i)
 		},
 		"cut off": func(t *rapid.T) {
-			if w.cut >= 0 {
+			if w.cutDataCentre >= 0 {
 				t.Skip()
 			}
-			w.cut = rapid.IntRange(0, 2).Draw(t, "data centre")
+			w.cutDataCentre = rapid.IntRange(0, 2).Draw(t, "data centre")
 			w.goneAt[-1] = w.now
-			w.changed()
+			w.scheduleViewUpdates()
 		},
 		"heal": func(t *rapid.T) {
-			if w.cut < 0 {
+			if w.cutDataCentre < 0 {
 				t.Skip()
 			}
-			w.cut = -1
-			w.changed()
+			w.cutDataCentre = -1
+			w.scheduleViewUpdates()
 		},
 		"spoil target": func(t *rapid.T) {
 			e := w.targets[rapid.SampledFrom(w.service.Targets).Draw(t, "target").ID]
@@ -179,18 +181,18 @@
 		},
 		"": func(t *rapid.T) {
 			w.run(5 * time.Millisecond)
-			assertHonest(t, w.bench, w.isIdempotent)
+			assertTruthfulResults(t, w.testBed, w.isIdempotent)
 		},
 	}
 }
 
-func (w *world) isIdempotent(key baobabstep.FlowKey) bool { return w.sent[key.Number-1].idempotent }
+func (w *faultBed) isIdempotent(key baobabstep.FlowKey) bool { return w.sent[key.Number-1].idempotent }
 
-// wake resumes a VM. It notices its pause before it handles what it received
-// meanwhile, and takes part again once it has a new view.
-func (w *world) wake(i int) {
+// resume resumes a VM. It notices its pause before it handles the packets
+// received during the pause, and is active again once it has a new view.
+func (w *faultBed) resume(i int) {
 	v := w.vms[i]
-	v.asleep = false
+	v.paused = false
 	v.engine.SetPaused(w.now, true)
 	inbox := v.inbox
 	v.inbox = nil
@@ -198,25 +200,25 @@
 		f()
 	}
 	w.after(time.Second, func() {
-		if v.dead || v.asleep {
+		if v.dead || v.paused {
 			return
 		}
-		w.look(i)
+		w.updateView(i)
 		v.engine.SetPaused(w.now, false)
 	})
-	w.changed()
+	w.scheduleViewUpdates()
 }
 
-// Callers send requests, copies and withdrawals to any VM while VMs die,
-// restart, sleep and wake, data centres are cut off, packets are lost and
-// doubled, and targets fall silent, refuse or slow down. Whatever the order:
-// no answer reaches another request, nothing that a caller was told did not
-// run has run or runs later, and nothing that is not idempotent runs twice.
-func TestRandomFaultsKeepTheLedgerHonest(t *testing.T) {
+// Callers send requests, copies and cancels to any VM while VMs die, restart,
+// pause and resume, data centres are cut off, packets are lost and duplicated,
+// and targets are silent, refuse or slow down. In any order of events no answer
+// may reach another request, no request that was reported as not run may have run
+// or run later, and no request that is not idempotent may run twice.
+func TestResultsAreTruthfulUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newFaultBed(t)
 		t.Repeat(w.actions())
 		w.run(10 * time.Second)
-		assertHonest(t, w.bench, w.isIdempotent)
+		assertTruthfulResults(t, w.testBed, w.isIdempotent)
 	})
 }
--- a/core/request/request.go
+++ b/core/request/request.go
@@ -1,45 +1,44 @@
-// Package request decides what becomes of each request: who runs it, when, how
-// often, and what its caller is told.
+// Package request decides what happens to each request: which VM handles it, when
+// and how often it is sent to a target, and which result its caller gets.
 //
 // # The model
 //
-// A service has few slots, so whoever hands out work has to know exactly how
-// many are in use. The targets of a service are split into groups of at most
-// 64, and each group has one dispatcher among the VMs at any time: the first
-// VM that is not suspect of the group's set, which is the three VMs with the best
-// rendezvous scores, of different data centres as far as there are. Every other
-// VM passes requests and answers on to it.
+// Each target of a service has few slots, so the VM that assigns requests to
+// targets has to know exactly how many slots are in use. The targets of a service
+// are split into groups of at most 64, and each group has a set of three VMs: those
+// with the best rendezvous scores, from different data centres where possible. The
+// dispatcher of the group is the first VM of its set that is not suspect. Every
+// other VM forwards requests and answers to the dispatcher.
 //
 //	caller -> any VM -> dispatcher -> target
 //	                        \-> the other two VMs of the set: claim
 //
 // The dispatcher keeps a ledger with one entry per request, from the first copy
-// of it to the time when no copy can arrive any more:
+// of the request until no more copies can arrive:
 //
-//	queued -> running -> done          refusing: "not run" awaits its claim
+//	queued -> running -> done          refusing: "not run" waits for its claim
 //	   \         |  \-> backoff        moved: another VM owns the request
-//	    \-> refusing -> done           stored: claimed here by another VM
+//	    \-> refusing -> done           stored: another VM's claim is stored here
 //
 // # Claims
 //
-// Two VMs may both think that they are the dispatcher, and either may die or
-// sleep at any moment. Hence two things are done only by the owner of a claim:
-// handing a request that is not idempotent to a target, and telling a caller
-// that its request was not run. A VM owns the claim of a request once most VMs
-// of the group's set have stored it, and most of every set that was in force a
-// short time ago. A VM stores the claim of one owner only, so two majorities
-// cannot both be had. A VM that started a short time ago may have forgotten
-// what it stored; it says so, and its word is not counted.
+// Two VMs may both consider themselves the dispatcher, and either may crash or be
+// paused at any moment. Therefore only the owner of a request's claim may send a
+// request that is not idempotent to a target, or report to a caller that its request
+// was not run. A VM owns the claim once a majority of the group's set has stored it,
+// and a majority of every former set that still counts. A VM stores the claim of one
+// owner only, so two VMs cannot both get a majority. A VM that started recently may
+// have lost claims that it stored; its replies say how far back its records reach, and
+// the claimer doesn't count them if that is not far enough.
 //
-// Without a claim the caller is told that the outcome is unknown.
+// Without a claim the caller gets "outcome unknown".
 //
 // # Partitions
 //
-// The fabric may hand copies of a request to both sides of a partition between
-// data centres, and no message can pass. Only a side that has members in most
-// of the service's data centres, suspect ones not counted, may own claims; the
-// other side serves
-// idempotent requests and answers the rest with "outcome unknown" at once.
+// During a partition between data centres the network may deliver copies of a request
+// to both sides. Only a side that has VMs in most of the service's data centres,
+// suspect VMs not counted, may own claims. The other side serves idempotent requests
+// and answers all others with "outcome unknown" at once.
 package request
 
 import (
@@ -54,15 +53,17 @@
 	"baobabstep/core/target"
 )
 
-// SlotChooser hands out the slots of targets; [target.Registry] is one.
+// SlotChooser assigns the slots of targets to requests. [target.Registry]
+// implements it.
 type SlotChooser interface {
-	// PickSlot takes a slot until SlotDone.
+	// PickSlot takes a slot until SlotDone is called.
 	PickSlot(now time.Time, q target.Slot) (baobabstep.TargetID, baobabstep.Code)
-	// SlotDone gives a slot back and says what became of the attempt.
+	// SlotDone releases a slot and reports the outcome of the attempt.
 	SlotDone(now time.Time, id baobabstep.TargetID, code baobabstep.Code, serviceTime time.Duration)
-	// Outcome says what became of an attempt whose slot was given back.
+	// Outcome reports the outcome of an attempt whose slot was already released.
 	Outcome(now time.Time, id baobabstep.TargetID, code baobabstep.Code, serviceTime time.Duration)
-	// Slots returns the usable slots of a group and the mean service time.
+	// Slots returns the number of usable slots of a group and the mean service
+	// time.
 	Slots(now time.Time, service baobabstep.ServiceID, group, groups int) (int, time.Duration)
 }
 
@@ -75,35 +76,36 @@
 	Targets    SlotChooser
 	// Rand seeds the engine's own generators and is not used after New.
 	Rand *rand.Rand
-	// Invariant, when set, is called for each broken invariant, after it
-	// was counted.
+	// Invariant, when set, is called for each invariant violation after it was
+	// counted.
 	Invariant func(name, detail string)
 
-	// Settle is how long a former set still has a say over first
-	// transmissions: 3 s. It has to be longer than two copies of one packet
-	// can be apart plus the time until all VMs that can hear each other
+	// Settle is how long a former set still votes on the claims of first
+	// transmissions (default 3 s). It must exceed the longest delay between two
+	// copies of one packet plus the time until all VMs that can reach each other
 	// have the same view.
 	Settle time.Duration
-	// Remember is how long at least a request is remembered, and how long a
-	// former set has a say over retransmissions: 60 s. It has to be longer
-	// than any MaxTimeout plus Settle.
+	// Remember is the minimum time for which a request is remembered, and how
+	// long a former set still votes on the claims of retransmissions (default
+	// 60 s). It must exceed the longest MaxTimeout plus Settle.
 	Remember time.Duration
-	// ClaimTimeout is how long a claim may take before it is given up:
-	// 500 ms. ClaimResend is the time between two tries: 60 ms.
+	// ClaimTimeout is the time after which a claim without a majority is
+	// abandoned (default 500 ms). ClaimResend is the interval between its
+	// transmissions (default 60 ms).
 	ClaimTimeout, ClaimResend time.Duration
-	// MaxAttempts bounds the hand-overs of an idempotent request: 3.
+	// MaxAttempts limits the attempts of an idempotent request (default 3).
 	MaxAttempts int
-	// MaxAnswer bounds the bytes of an answer in parts: 1 MiB.
+	// MaxAnswer limits the bytes of a multi-part answer (default 1 MiB).
 	MaxAnswer int
-	// MaxPending bounds, per shard, the bytes of answers that are not whole
-	// yet, and of whole ones kept for retransmissions: 4 MiB each.
+	// MaxPending limits, per shard, the bytes of incomplete answers and,
+	// separately, of answers kept for retransmissions (default 4 MiB each).
 	MaxPending int
-	// MaxEntries bounds the ledger entries of a shard: 131072. An entry is
-	// kept until Settle after its end, and its tombstone, some 50 bytes, between
-	// one and two times Remember.
+	// MaxEntries limits the ledger entries of a shard (default 131072). An entry
+	// is kept until Settle after its end. Its tombstone, about 50 bytes, is kept
+	// for between one and two times Remember.
 	MaxEntries int
-	// UrgentWait bounds the queueing of urgent requests, as a multiple of
-	// the mean service time: 1.
+	// UrgentWait limits the expected queueing time of urgent requests, as a
+	// multiple of the mean service time (default 1).
 	UrgentWait float64
 }
 
@@ -123,47 +125,51 @@
 
 // Engine is the ledger and dispatcher of one VM. It is safe for concurrent use.
 type Engine struct {
-	opts    Options
-	started time.Time
-	// token tells the claims of this process from those of an earlier one
-	// on the same VM, which this one does not remember.
-	token  uint32
-	config atomic.Pointer[baobabstep.Config]
-	// moved is when the keys of services last moved between groups.
-	moved atomic.Pointer[map[baobabstep.ServiceID]time.Time]
-	// viewMu lets one SetView or SetConfig run at a time.
-	viewMu   sync.Mutex
+	opts      Options
+	startedAt time.Time
+	// claimToken distinguishes the claims of this process from those of earlier
+	// processes on the same VM, whose claims this process doesn't know.
+	claimToken uint32
+	config     atomic.Pointer[baobabstep.Config]
+	// regroupedAt holds the times at which the keys of services last moved
+	// between groups.
+	regroupedAt atomic.Pointer[map[baobabstep.ServiceID]time.Time]
+	// updateMu serialises SetView and SetConfig.
+	updateMu sync.Mutex
 	view     atomic.Pointer[fleet]
 	paused   atomic.Bool
 	stopping atomic.Bool
-	// lastPassed is when a stopping engine last passed on a packet that
-	// another VM took to be this VM's, in nanoseconds of Unix time.
-	lastPassed atomic.Int64
-	stats      counters
-	shards     [numShards]shard
+	// lastStopForward is when a stopping engine last forwarded a packet that
+	// another VM had forwarded to it as the dispatcher, in nanoseconds of Unix
+	// time.
+	lastStopForward atomic.Int64
+	stats           counters
+	shards          [numShards]shard
 }
 
 // shard holds the groups of some services under one lock.
 type shard struct {
 	engine *Engine
-	// used is set once there is a group, so that Tick passes over the rest.
-	used atomic.Bool
+	// inUse is set once the shard has a group, so that Tick can skip empty
+	// shards.
+	inUse atomic.Bool
 
 	mu     sync.Mutex
 	rand   *rand.Rand
 	groups map[groupID]*group
 	timers timers
-	// entries counts ledger entries; pending and kept count bytes of
-	// answers in parts and of answers kept for retransmissions.
-	entries, pending, kept int
-	keptQueue              []*entry
+	// numEntries counts ledger entries. partialBytes and keptBytes count the
+	// bytes of incomplete answers and of answers kept for retransmissions.
+	numEntries, partialBytes, keptBytes int
+	keptAnswers                         []*entry
 }
 
-// New returns an engine that refuses all work until SetConfig and SetView.
+// New returns an engine that refuses all requests until SetConfig and SetView
+// were called.
 func New(now time.Time, o Options) *Engine {
 	o.setDefaults()
-	e := &Engine{opts: o, started: now, token: o.Rand.Uint32()}
-	e.moved.Store(&map[baobabstep.ServiceID]time.Time{})
+	e := &Engine{opts: o, startedAt: now, claimToken: o.Rand.Uint32()}
+	e.regroupedAt.Store(&map[baobabstep.ServiceID]time.Time{})
 	for i := range e.shards {
 		s := &e.shards[i]
 		s.engine = e
@@ -173,16 +179,16 @@
 	return e
 }
 
-// SetConfig puts a configuration into force. A change of a service's data
-// centres changes its sets; a change of its number of groups moves keys between
-// sets that know nothing of each other, and then nothing can be claimed until
-// no copy of an older request can arrive.
+// SetConfig applies a configuration. A change of a service's data centres changes
+// its sets. A change of its number of groups moves keys between sets that don't
+// know each other's requests, so no request of the service can be claimed until
+// copies of older requests can no longer arrive.
 func (e *Engine) SetConfig(now time.Time, c *baobabstep.Config) {
-	e.viewMu.Lock()
-	defer e.viewMu.Unlock()
+	e.updateMu.Lock()
+	defer e.updateMu.Unlock()
 	old := e.config.Load()
-	moved := e.movedServices(now, old, c)
-	e.moved.Store(&moved)
+	regroupedAt := e.regroupedServices(now, old, c)
+	e.regroupedAt.Store(&regroupedAt)
 	e.config.Store(c)
 	for i := range e.shards {
 		s := &e.shards[i]
@@ -190,23 +196,23 @@
 		for _, g := range s.groups {
 			if service := c.Service(g.id.service); service != nil {
 				g.service = service
-				g.follow(now, g.fleet)
+				g.applyFleet(now, g.fleet)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// movedServices returns when the services whose keys moved did so, leaving out
-// those of long ago.
-func (e *Engine) movedServices(now time.Time, old, c *baobabstep.Config) map[baobabstep.ServiceID]time.Time {
-	moved := make(map[baobabstep.ServiceID]time.Time)
+// regroupedServices returns the times at which the keys of services moved,
+// without those longer ago than Remember.
+func (e *Engine) regroupedServices(now time.Time, old, c *baobabstep.Config) map[baobabstep.ServiceID]time.Time {
+	regroupedAt := make(map[baobabstep.ServiceID]time.Time)
 	if old == nil {
-		return moved
+		return regroupedAt
 	}
-	for id, at := range *e.moved.Load() {
+	for id, at := range *e.regroupedAt.Load() {
 		if now.Sub(at) < e.opts.Remember {
-			moved[id] = at
+			regroupedAt[id] = at
 		}
 	}
 	for i := range c.Services {
@@ -214,40 +220,41 @@
 		before := old.Service(s.ID)
 		regrouped := before != nil && target.Groups(len(before.Targets)) != target.Groups(len(s.Targets))
 		if regrouped || old.FlowSecret != c.FlowSecret {
-			moved[s.ID] = now
+			regroupedAt[s.ID] = now
 		}
 	}
-	return moved
+	return regroupedAt
 }
 
-// movedWithin tells whether the keys of a service moved a short time ago.
-func (e *Engine) movedWithin(now time.Time, id baobabstep.ServiceID, d time.Duration) bool {
-	at, ok := (*e.moved.Load())[id]
+// regroupedWithin reports whether the keys of a service moved within the last d.
+func (e *Engine) regroupedWithin(now time.Time, id baobabstep.ServiceID, d time.Duration) bool {
+	at, ok := (*e.regroupedAt.Load())[id]
 	return ok && now.Sub(at) < d
 }
 
-// SetView tells which VMs there are.
+// SetView applies a new view of the fleet's VMs.
 func (e *Engine) SetView(now time.Time, v *baobabstep.View) {
-	e.viewMu.Lock()
-	defer e.viewMu.Unlock()
+	e.updateMu.Lock()
+	defer e.updateMu.Unlock()
 	f := newFleet(now, v, e.view.Load(), e.opts.Remember)
 	e.view.Store(f)
 	for i := range e.shards {
 		s := &e.shards[i]
 		s.mu.Lock()
 		for _, g := range s.groups {
-			g.follow(now, f)
+			g.applyFleet(now, f)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// SetPaused tells that the VM finds it was paused, or that it no longer is.
-// While paused it takes no new request into its ledger: its view is old, and
-// what it reads may have waited in its buffers for as long as the pause was.
+// SetPaused sets whether the VM is recovering from a pause of its process. Until
+// it has recovered it takes no new request into its ledger: its view is outdated,
+// and the packets that it reads may have been buffered for as long as the pause
+// lasted.
 func (e *Engine) SetPaused(_ time.Time, paused bool) { e.paused.Store(paused) }
 
-// Handle decides about one packet.
+// Handle processes one packet.
 func (e *Engine) Handle(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	service := e.serviceOf(p)
 	f := e.view.Load()
@@ -259,8 +266,8 @@
 	s := e.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The view may have changed since; the shard's groups follow it under
-	// the lock, and a new group must not start behind them.
+	// The view may have changed since. SetView updates the shard's groups under
+	// this lock, and a new group must not start with an older view than theirs.
 	g := s.group(now, e.view.Load(), service, id)
 	g.handle(now, p, out)
 }
@@ -269,8 +276,8 @@
 	return place.Hash(e.config.Load().FlowSecret, key)
 }
 
-// serviceOf finds the service of a packet: callers name its address, VMs and
-// targets its identifier.
+// serviceOf returns the service of a packet. Packets from callers carry its
+// address, packets from VMs and targets its identifier.
 func (e *Engine) serviceOf(p *baobabstep.Packet) *baobabstep.Service {
 	c := e.config.Load()
 	if c == nil {
@@ -300,14 +307,14 @@
 	return &e.shards[(uint64(id.service)^uint64(id.index)*0x9e3779b97f4a7c15)>>7%numShards]
 }
 
-// maxTimers bounds the timers that one Tick handles in each shard.
-const maxTimers = 512
+// maxTimersPerTick limits the timers that one Tick handles in each shard.
+const maxTimersPerTick = 512
 
-// Tick does what has become due: deadlines, retries, claims, tombstones, and
+// Tick handles all that is due: deadlines, retries, claims, tombstones, and
 // queued requests for which a slot became free. Call it every 20 to 50 ms.
 func (e *Engine) Tick(now time.Time, out *baobabstep.Outbox) {
 	for i := range e.shards {
-		if s := &e.shards[i]; s.used.Load() {
+		if s := &e.shards[i]; s.inUse.Load() {
 			s.tick(now, out)
 		}
 	}
@@ -316,49 +323,50 @@
 func (s *shard) tick(now time.Time, out *baobabstep.Outbox) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for range maxTimers {
-		t := s.timers.pop(now)
+	for range maxTimersPerTick {
+		t := s.timers.popDue(now)
 		if t == nil {
 			break
 		}
-		t.group.expire(now, t, out)
+		t.group.handleTimer(now, t, out)
 	}
 	for _, g := range s.groups {
 		g.dispatch(now, out)
 	}
 }
 
-// stopQuiet is how long a stopping engine waits after the last packet from a VM
-// that has not seen it leave yet: an answer that comes after the process ended
-// would be lost.
-const stopQuiet = 200 * time.Millisecond
+// stopQuietPeriod is how long a stopping engine waits after the last packet from
+// a VM whose view still has it as the dispatcher. An answer that arrives after
+// the process has ended would be lost.
+const stopQuietPeriod = 200 * time.Millisecond
 
-// Stop begins or continues a graceful stop: new requests are passed to another
-// VM of the set, or refused with CodeStopping when there is none. One that has
-// been round the set, since views differ, is still served here. It returns
-// the number of requests that still await their end, at least 1 while other
-// VMs still take this one for a dispatcher; call it every 20 to 50 ms until
-// that is 0. The caller bounds the time: requests end by their deadlines.
+// Stop begins or continues a graceful stop. New requests are forwarded to another
+// VM of the set, or refused with CodeStopping if there is none; a request that
+// was already forwarded around the set because of differing views is still served
+// here. Stop returns the number of open requests, at least 1 while other VMs
+// still use this one as a dispatcher. Call it every 20 to 50 ms until it returns
+// 0. Requests end by their deadlines at the latest; any shorter limit is up to
+// the caller.
 func (e *Engine) Stop(now time.Time, out *baobabstep.Outbox) (remaining int) {
 	if e.stopping.CompareAndSwap(false, true) {
-		e.lastPassed.Store(now.UnixNano())
+		e.lastStopForward.Store(now.UnixNano())
 	}
 	e.Tick(now, out)
 	for i := range e.shards {
 		s := &e.shards[i]
 		s.mu.Lock()
 		for _, g := range s.groups {
-			remaining += g.open
+			remaining += g.numOpen
 		}
 		s.mu.Unlock()
 	}
-	if now.Sub(time.Unix(0, e.lastPassed.Load())) < stopQuiet {
+	if now.Sub(time.Unix(0, e.lastStopForward.Load())) < stopQuietPeriod {
 		return max(1, remaining)
 	}
 	return remaining
 }
 
-func (e *Engine) breaks(name, detail string) {
+func (e *Engine) reportBroken(name, detail string) {
 	e.stats.broken.Add(1)
 	if e.opts.Invariant != nil {
 		e.opts.Invariant(name, detail)
--- a/core/request/request_test.go
+++ b/core/request/request_test.go
@@ -9,11 +9,11 @@
 
 func TestRequestIsAnsweredThroughAnyVM(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
-		b := newBench(t, 9, 15, 1)
+		b := newTestBed(t, 9, 15, 1)
 		for i := range 9 {
-			key := b.ask(i, request{number: uint64(i), idempotent: idempotent})
+			key := b.sendRequest(i, transmission{number: uint64(i), idempotent: idempotent})
 			b.run(200 * time.Millisecond)
-			assertTold(t, b, key, baobabstep.CodeOK)
+			assertResults(t, b, key, baobabstep.CodeOK)
 		}
 	}
 }
--- a/core/request/set.go
+++ b/core/request/set.go
@@ -8,18 +8,18 @@
 	"baobabstep"
 )
 
-// setSize is the number of VMs that keep the claims of a group. Three is the
-// least number of which one may die without any claim being lost or stalled.
+// setSize is the number of VMs that store the claims of a group. Three is the
+// smallest number with which one VM may fail without losing or delaying a claim.
 const setSize = 3
 
-// fleet is a view with what is looked up in it.
+// fleet is a view with an index of the VMs' states.
 type fleet struct {
 	view   *baobabstep.View
 	states map[baobabstep.VMID]baobabstep.VMState
-	// former are the fleets of a short time ago, the oldest first. A group
-	// that is first used after a change needs them as much as one that was
-	// there before.
-	former []formerFleet
+	// formerFleets are the fleets of the last Remember, oldest first. A group
+	// that is first used after a change of the view needs them to know its former
+	// sets.
+	formerFleets []formerFleet
 }
 
 type formerFleet struct {
@@ -27,18 +27,18 @@
 	until time.Time
 }
 
-// newFleet returns the fleet of a view that follows old.
+// newFleet returns the fleet of a view that replaces old.
 func newFleet(now time.Time, v *baobabstep.View, old *fleet, remember time.Duration) *fleet {
 	f := &fleet{view: v, states: make(map[baobabstep.VMID]baobabstep.VMState, len(v.Members))}
 	if old != nil {
-		for _, past := range old.former {
-			if now.Sub(past.until) < remember {
-				f.former = append(f.former, past)
+		for _, former := range old.formerFleets {
+			if now.Sub(former.until) < remember {
+				f.formerFleets = append(f.formerFleets, former)
 			}
 		}
-		last := *old
-		last.former = nil
-		f.former = append(f.former, formerFleet{&last, now})
+		replaced := *old
+		replaced.formerFleets = nil
+		f.formerFleets = append(f.formerFleets, formerFleet{&replaced, now})
 	}
 	for i := range v.Members {
 		f.states[v.Members[i].ID] = v.Members[i].State
@@ -46,69 +46,70 @@
 	return f
 }
 
-func (f *fleet) has(vm baobabstep.VMID) bool {
+func (f *fleet) contains(vm baobabstep.VMID) bool {
 	_, ok := f.states[vm]
 	return ok
 }
 
-func (f *fleet) suspect(vm baobabstep.VMID) bool {
+func (f *fleet) isSuspect(vm baobabstep.VMID) bool {
 	return f.states[vm] == baobabstep.VMSuspect
 }
 
-// set is the VMs that keep the claims of a group.
+// set is the VMs that store the claims of a group.
 type set struct {
-	// members has the best rendezvous score first.
+	// members are sorted by rendezvous score, best first.
 	members []baobabstep.VMID
-	// acting is the dispatcher: the first member that is not suspect. A
-	// suspect member keeps its vote, since it may be alive.
-	acting baobabstep.VMID
+	// dispatcher is the first member that is not suspect, or the first member if
+	// all are. Suspect members keep their votes, since they may be alive.
+	dispatcher baobabstep.VMID
 }
 
-// formerSet is a set that was in force until a moment ago.
+// formerSet is a set that was in force until a point in time.
 type formerSet struct {
 	set   set
 	until time.Time
 }
 
-// scored is a VM with its rendezvous score for a group.
-type scored struct {
+// scoredVM is a VM with its rendezvous score for a group.
+type scoredVM struct {
 	vm         baobabstep.VMID
 	dataCentre string
 	score      uint64
 }
 
-// setOf computes the set of a group, leaving out one VM.
-func (f *fleet) setOf(id groupID, s *baobabstep.Service, without baobabstep.VMID) set {
-	var all []scored
+// setOf computes the set of a group without the VM exclude.
+func (f *fleet) setOf(id groupID, s *baobabstep.Service, exclude baobabstep.VMID) set {
+	var all []scoredVM
 	for i := range f.view.Members {
 		vm := &f.view.Members[i]
-		if vm.ID == without || !f.serves(s, vm.DataCentre) {
+		if vm.ID == exclude || !f.mayDispatch(s, vm.DataCentre) {
 			continue
 		}
-		all = append(all, scored{vm.ID, vm.DataCentre, score(vm.ID, id)})
+		all = append(all, scoredVM{vm.ID, vm.DataCentre, score(vm.ID, id)})
 	}
-	slices.SortFunc(all, func(a, b scored) int {
+	slices.SortFunc(all, func(a, b scoredVM) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.vm, b.vm))
 	})
 	var r set
-	for _, m := range spread(all) {
+	for _, m := range pickAcrossDataCentres(all) {
 		r.members = append(r.members, m.vm)
-		if r.acting == 0 && !f.suspect(m.vm) {
-			r.acting = m.vm
+		if r.dispatcher == 0 && !f.isSuspect(m.vm) {
+			r.dispatcher = m.vm
 		}
 	}
-	if r.acting == 0 && len(r.members) > 0 {
-		r.acting = r.members[0]
+	if r.dispatcher == 0 && len(r.members) > 0 {
+		r.dispatcher = r.members[0]
 	}
 	return r
 }
 
-// spread returns the best VMs, of different data centres as far as there are:
-// when one data centre is cut off, the others still have most of each set.
-func spread(all []scored) []scored {
-	var best, rest []scored
+// pickAcrossDataCentres returns the best VMs, from different data centres where
+// possible. If one data centre is cut off, the others still have a majority of
+// each set.
+func pickAcrossDataCentres(all []scoredVM) []scoredVM {
+	var best, rest []scoredVM
 	for _, m := range all {
-		taken := slices.ContainsFunc(best, func(b scored) bool { return b.dataCentre == m.dataCentre })
+		taken := slices.ContainsFunc(best, func(b scoredVM) bool { return b.dataCentre == m.dataCentre })
 		if taken || len(best) == setSize {
 			rest = append(rest, m)
 			continue
@@ -119,9 +120,9 @@
 	return append(best, rest[:missing]...)
 }
 
-// serves tells whether VMs of a data centre may dispatch for a service: those
-// of its own data centres, or all when none of these has a VM.
-func (f *fleet) serves(s *baobabstep.Service, dataCentre string) bool {
+// mayDispatch reports whether VMs of a data centre may dispatch for a service:
+// those of the service's data centres, or all VMs if none of these has a VM.
+func (f *fleet) mayDispatch(s *baobabstep.Service, dataCentre string) bool {
 	if len(s.DataCentres) == 0 || slices.Contains(s.DataCentres, dataCentre) {
 		return true
 	}
@@ -133,23 +134,26 @@
 	return true
 }
 
-// reached counts the service's data centres that have a VM which is not
-// suspect. A side of a partition has to stop claiming well before the other
-// side begins to count without it, and suspicion comes before death.
-func (f *fleet) reached(s *baobabstep.Service) int {
+// countReachable counts the service's data centres that have a VM that is not
+// suspect. One side of a partition must stop claiming well before the other side
+// starts to claim without it. Excluding suspect VMs ensures that, since a VM is
+// suspect before it counts as dead.
+func (f *fleet) countReachable(s *baobabstep.Service) int {
 	n := 0
 	for _, d := range s.DataCentres {
-		if f.reaches(d) {
+		if f.reachable(d) {
 			n++
 		}
 	}
 	return n
 }
 
-// whole tells whether no data centre of the service is cut off or down.
-func (f *fleet) whole(s *baobabstep.Service) bool { return f.reached(s) == len(s.DataCentres) }
+// allReachable reports whether no data centre of the service is cut off or down.
+func (f *fleet) allReachable(s *baobabstep.Service) bool {
+	return f.countReachable(s) == len(s.DataCentres)
+}
 
-func (f *fleet) reaches(dataCentre string) bool {
+func (f *fleet) reachable(dataCentre string) bool {
 	for i := range f.view.Members {
 		vm := &f.view.Members[i]
 		if vm.DataCentre == dataCentre && vm.State != baobabstep.VMSuspect {
@@ -159,27 +163,27 @@
 	return false
 }
 
-// mayClaim tells whether this side of a possible partition may own claims: it
-// has VMs in most of the service's data centres, or in half of them with the
-// first by name among them, since only one side can have that.
+// mayClaim reports whether this side of a possible partition may own claims. It
+// must have VMs in most of the service's data centres, or in half of them
+// including the first by name, which is true for one side only.
 func (f *fleet) mayClaim(s *baobabstep.Service) bool {
 	n := len(s.DataCentres)
 	if n == 0 {
 		return true
 	}
-	reached := f.reached(s)
+	reached := f.countReachable(s)
 	if 2*reached == n {
-		return f.reaches(slices.Min(s.DataCentres))
+		return f.reachable(slices.Min(s.DataCentres))
 	}
 	return 2*reached > n
 }
 
 func score(vm baobabstep.VMID, id groupID) uint64 {
-	return mix(mix(uint64(vm)^0xa0761d6478bd642f) ^ mix(uint64(id.service)+uint64(id.index)*0x9e3779b97f4a7c15))
+	return mixBits(mixBits(uint64(vm)^0xa0761d6478bd642f) ^ mixBits(uint64(id.service)+uint64(id.index)*0x9e3779b97f4a7c15))
 }
 
-// mix is a bijection whose output bits all depend on all input bits.
-func mix(x uint64) uint64 {
+// mixBits is a bijection in which each output bit depends on all input bits.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -187,72 +191,75 @@
 	return x ^ x>>31
 }
 
-// start sets up the sets of a new group. A VM that started a short time ago
-// does not know the sets of before; the most likely one is the present one
-// without itself.
-func (g *group) start(now time.Time, f *fleet) {
-	if g.engine.age(now) < g.engine.opts.Remember {
-		g.former = append(g.former, formerSet{
+// initSets initialises the present and former sets of a new group. A VM that
+// started recently doesn't know the former sets. The most likely one is the
+// present set without this VM.
+func (g *group) initSets(now time.Time, f *fleet) {
+	if g.engine.uptime(now) < g.engine.opts.Remember {
+		g.formerSets = append(g.formerSets, formerSet{
 			set:   f.setOf(g.id, g.service, g.engine.opts.Self),
-			until: g.engine.started,
+			until: g.engine.startedAt,
 		})
 	}
-	for _, past := range f.former {
-		g.change(past.until, past.fleet.setOf(g.id, g.service, 0))
+	for _, former := range f.formerFleets {
+		g.recordFormerSet(former.until, former.fleet.setOf(g.id, g.service, 0))
 	}
 	g.fleet = f
 	g.set = f.setOf(g.id, g.service, 0)
-	if n := len(g.former); n > 0 && g.former[n-1].set.acting != g.set.acting {
-		g.took = g.former[n-1].until
+	if n := len(g.formerSets); n > 0 && g.formerSets[n-1].set.dispatcher != g.set.dispatcher {
+		g.tookOverAt = g.formerSets[n-1].until
 	}
 }
 
-// change notes that a set was in force until a moment. Neighbours that are
-// alike are kept once.
-func (g *group) change(until time.Time, s set) {
-	if n := len(g.former); n > 0 && g.former[n-1].set.equal(s) {
-		g.former[n-1].until = until
+// recordFormerSet records that a set was in force until a point in time. Equal
+// consecutive sets are merged.
+func (g *group) recordFormerSet(until time.Time, s set) {
+	if n := len(g.formerSets); n > 0 && g.formerSets[n-1].set.equal(s) {
+		g.formerSets[n-1].until = until
 		return
 	}
-	g.former = append(g.former, formerSet{set: s, until: until})
+	g.formerSets = append(g.formerSets, formerSet{set: s, until: until})
 }
 
-func (s set) equal(t set) bool { return s.acting == t.acting && slices.Equal(s.members, t.members) }
+func (s set) equal(t set) bool {
+	return s.dispatcher == t.dispatcher && slices.Equal(s.members, t.members)
+}
 
-// follow takes over a new view.
-func (g *group) follow(now time.Time, f *fleet) {
+// applyFleet updates the group's sets for a new view.
+func (g *group) applyFleet(now time.Time, f *fleet) {
 	g.fleet = f
-	g.former = slices.DeleteFunc(g.former, func(s formerSet) bool {
+	g.formerSets = slices.DeleteFunc(g.formerSets, func(s formerSet) bool {
 		return now.Sub(s.until) >= g.engine.opts.Remember
 	})
 	next := f.setOf(g.id, g.service, 0)
 	if !next.equal(g.set) {
-		g.change(now, g.set)
+		g.recordFormerSet(now, g.set)
 	}
-	if self := g.engine.opts.Self; next.acting == self && g.set.acting != self && now.Sub(g.lastServed) > idleGap {
-		g.took = now
+	if self := g.engine.opts.Self; next.dispatcher == self && g.set.dispatcher != self && now.Sub(g.lastDispatched) > dispatchIdleGap {
+		g.tookOverAt = now
 	}
 	g.set = next
-	g.adopt(now)
+	g.adoptOrphans(now)
 }
 
-func (e *Engine) age(now time.Time) time.Duration { return now.Sub(e.started) }
+func (e *Engine) uptime(now time.Time) time.Duration { return now.Sub(e.startedAt) }
 
-// memory is how far back this VM remembers all requests of the group: to the
-// start of its process, or to where a flood made it drop tombstones early.
-func (g *group) memory(now time.Time) time.Duration {
-	return min(g.engine.age(now), g.tombstones.reach(now))
+// historyDepth returns how far back this VM remembers all requests of the group:
+// to the start of its process, or to the newest tombstone that a flood forced it
+// to drop early.
+func (g *group) historyDepth(now time.Time) time.Duration {
+	return min(g.engine.uptime(now), g.tombstones.completeFor(now))
 }
 
-// changedWithin tells whether another VM may have been the dispatcher a short
-// time ago.
-func (g *group) changedWithin(now time.Time, d time.Duration) bool {
-	if g.memory(now) < d || g.engine.movedWithin(now, g.id.service, d) {
+// dispatcherChangedWithin reports whether another VM may have been the dispatcher
+// within the last d.
+func (g *group) dispatcherChangedWithin(now time.Time, d time.Duration) bool {
+	if g.historyDepth(now) < d || g.engine.regroupedWithin(now, g.id.service, d) {
 		return true
 	}
-	for i := range g.former {
-		former := &g.former[i]
-		if now.Sub(former.until) < d && former.set.acting != g.engine.opts.Self {
+	for i := range g.formerSets {
+		former := &g.formerSets[i]
+		if now.Sub(former.until) < d && former.set.dispatcher != g.engine.opts.Self {
 			return true
 		}
 	}
--- a/core/request/set_test.go
+++ b/core/request/set_test.go
@@ -9,16 +9,16 @@
 	"baobabstep"
 )
 
-// fleetOf returns the fleet of nine VMs in three data centres, of which the
-// given ones are missing or suspect.
-func fleetOf(gone, doubtful []string) *fleet {
+// fleetOf returns the fleet of nine VMs in three data centres, without the VMs of
+// those in gone and with the VMs of those in suspected marked as suspect.
+func fleetOf(gone, suspected []string) *fleet {
 	v := &baobabstep.View{}
 	for i := range 9 {
 		vm := baobabstep.VM{ID: vmID(i), DataCentre: dataCentres[i%3]}
 		if slices.Contains(gone, vm.DataCentre) {
 			continue
 		}
-		if slices.Contains(doubtful, vm.DataCentre) {
+		if slices.Contains(suspected, vm.DataCentre) {
 			vm.State = baobabstep.VMSuspect
 		}
 		v.Members = append(v.Members, vm)
@@ -26,15 +26,15 @@
 	return newFleet(epoch, v, nil, 0)
 }
 
-// At most one side of a partition may own claims, and the other side stops as
-// soon as it suspects, before anybody is declared dead.
+// At most one side of a partition may own claims. The other side stops as soon as
+// it suspects VMs, before any VM is declared dead.
 func TestWhichSideMayClaim(t *testing.T) {
 	a, b, c := dataCentres[0], dataCentres[1], dataCentres[2]
 	tests := []struct {
-		name           string
-		serves         []string
-		gone, doubtful []string
-		want           bool
+		name            string
+		serves          []string
+		gone, suspected []string
+		want            bool
 	}{
 		{"all there", dataCentres, nil, nil, true},
 		{"one gone", dataCentres, []string{c}, nil, true},
@@ -50,13 +50,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := testService(3)
 			s.DataCentres = test.serves
-			qt.Assert(t, fleetOf(test.gone, test.doubtful).mayClaim(&s), qt.Equals, test.want)
+			qt.Assert(t, fleetOf(test.gone, test.suspected).mayClaim(&s), qt.Equals, test.want)
 		})
 	}
 }
 
-// A data centre is cut off. Each group keeps two of the three VMs that store
-// its claims, so that nothing stalls until the cut is known for a death.
+// A data centre is cut off. Each group keeps two of the three VMs that store its
+// claims, so that no request is delayed until the failure is detected.
 func TestSetLosesOneVMWithOneDataCentre(t *testing.T) {
 	s := testService(3)
 	all := fleetOf(nil, nil)
@@ -68,7 +68,7 @@
 			left := 0
 			rest := fleetOf([]string{cut}, nil)
 			for _, vm := range members {
-				if rest.has(vm) {
+				if rest.contains(vm) {
 					left++
 				}
 			}
@@ -77,7 +77,7 @@
 	}
 }
 
-// With VMs in one data centre alone the set is still three.
+// If all VMs are in one data centre, the set still has three members.
 func TestSetInOneDataCentre(t *testing.T) {
 	s := testService(3)
 	f := fleetOf([]string{dataCentres[1], dataCentres[2]}, nil)
--- a/core/request/stats.go
+++ b/core/request/stats.go
@@ -15,7 +15,7 @@
 	ok, notRun, outcomeUnknown, other               atomic.Uint64
 }
 
-func (c *counters) finished(code baobabstep.Code) {
+func (c *counters) countResult(code baobabstep.Code) {
 	switch code {
 	case baobabstep.CodeOK:
 		c.ok.Add(1)
@@ -31,29 +31,29 @@
 
 // Stats are totals since the start, and the present state of the ledger.
 type Stats struct {
-	// Arrived counts requests taken into the ledger, Copies further copies
-	// of them, Forwarded packets passed to another VM.
+	// Arrived counts requests taken into the ledger, Copies further copies of
+	// them, Forwarded packets forwarded to another VM.
 	Arrived    uint64 `json:"arrived"`
 	Copies     uint64 `json:"copies"`
 	Forwarded  uint64 `json:"forwarded"`
 	HandedOver uint64 `json:"handed_over"`
 	Retries    uint64 `json:"retries"`
-	// Claims counts claims asked of other VMs, Conflicts those refused here.
+	// Claims counts claims sent to other VMs, Conflicts those rejected here.
 	Claims    uint64 `json:"claims"`
 	Conflicts uint64 `json:"conflicts"`
-	// LateAnswers counts answers dropped since no running attempt matched.
+	// LateAnswers counts answers dropped because they matched no running attempt.
 	LateAnswers    uint64 `json:"late_answers"`
 	LedgerFull     uint64 `json:"ledger_full"`
 	UnknownService uint64 `json:"unknown_service"`
-	// Results by what the caller was told.
+	// Results by the code sent to the caller.
 	OK             uint64 `json:"ok"`
 	NotRun         uint64 `json:"not_run"`
 	OutcomeUnknown uint64 `json:"outcome_unknown"`
 	OtherResult    uint64 `json:"other_result"`
-	// Broken counts broken invariants.
+	// Broken counts invariant violations.
 	Broken uint64 `json:"broken"`
-	// Entries is the size of the ledger; Queued counts waiting requests by
-	// class, Open all that are not finished.
+	// Entries is the size of the ledger, Queued the waiting requests by class,
+	// Open all unfinished ones.
 	Entries    int    `json:"entries"`
 	Tombstones int    `json:"tombstones"`
 	Open       int    `json:"open"`
@@ -80,16 +80,16 @@
 func (s *shard) addTo(t *Stats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Entries += s.entries
+	t.Entries += s.numEntries
 	for _, g := range s.groups {
 		t.Tombstones += g.tombstones.len()
-		t.Open += g.open
-		t.Queued[0] += g.queues[0].n
-		t.Queued[1] += g.queues[1].n
+		t.Open += g.numOpen
+		t.Queued[0] += g.queues[0].numWaiting
+		t.Queued[1] += g.queues[1].numWaiting
 	}
 }
 
-// Explanation tells what the ledger holds of one request.
+// Explanation describes the ledger's entry for one request.
 type Explanation struct {
 	State      string              `json:"state"`
 	Class      string              `json:"class"`
@@ -97,14 +97,14 @@
 	Attempt    uint16              `json:"attempt"`
 	Target     baobabstep.TargetID `json:"target"`
 	Claimed    bool                `json:"claimed"`
-	// Owner is the VM that the request belongs to if that is not this one.
+	// Owner is the VM that owns the request, or zero if it is this one.
 	Owner    baobabstep.VMID `json:"owner,omitempty"`
 	Code     baobabstep.Code `json:"code"`
 	Arrived  time.Time       `json:"arrived"`
 	Deadline time.Time       `json:"deadline"`
 }
 
-// Explain returns what this VM's ledger holds of a request.
+// Explain returns this VM's ledger entry for a request.
 func (e *Engine) Explain(key baobabstep.FlowKey) (Explanation, bool) {
 	for i := range e.shards {
 		if x, ok := e.shards[i].explain(key); ok {
--- a/core/request/stop_test.go
+++ b/core/request/stop_test.go
@@ -9,50 +9,49 @@
 	"baobabstep"
 )
 
-// stop stops a VM gracefully: the others see it leave a little later, each at
-// its own time, and the process ends once nothing remains. It returns the time
-// that took.
-func (b *bench) stop(i int, skew time.Duration) time.Duration {
-	begun := b.now
-	for _, j := range b.others(i) {
-		b.after(time.Duration(b.rand.Int64N(int64(skew))), func() { b.see(j, b.others(i)...) })
+// stopGracefully stops a VM gracefully. The others learn that it leaves after
+// different delays of up to skew, and the process ends once Stop returns 0. It
+// returns the time taken.
+func (b *testBed) stopGracefully(i int, skew time.Duration) time.Duration {
+	startedAt := b.now
+	for _, j := range b.allExcept(i) {
+		b.after(time.Duration(b.rand.Int64N(int64(skew))), func() { b.setView(j, b.allExcept(i)...) })
 	}
 	for {
 		remaining := 0
-		b.decide(b.vms[i], func(out *baobabstep.Outbox) { remaining = b.vms[i].engine.Stop(b.now, out) })
+		b.withOutbox(b.vms[i], func(out *baobabstep.Outbox) { remaining = b.vms[i].engine.Stop(b.now, out) })
 		if remaining == 0 {
 			b.vms[i].dead = true
-			return b.now.Sub(begun)
+			return b.now.Sub(startedAt)
 		}
 		b.run(20 * time.Millisecond)
 	}
 }
 
-// The dispatcher is stopped while requests run and wait in its queues, and
-// while other VMs still pass new ones to it. Whatever was on its way when the
-// stop began is answered: the dispatcher finishes what it has. What comes later
-// it passes on to the next VM of the set, which knows nothing of the slots that
-// are still in use; next to none of these requests may be refused for that, and
-// none may be left without an answer.
-func TestGracefulStopCutsNothing(t *testing.T) {
+// The dispatcher is stopped while requests run and wait in its queues, and while
+// other VMs still forward new ones to it. It must finish the requests that
+// arrived before the stop. It forwards later ones to the next VM of the set,
+// which doesn't know which slots are still in use. Almost none of these may be
+// refused for that reason, and every one must be answered.
+func TestGracefulStopFinishesOpenRequests(t *testing.T) {
 	refused, sent := 0, 0
 	for seed := range uint64(8) {
-		b := newBench(t, 9, 15, seed)
+		b := newTestBed(t, 9, 15, seed)
 		idempotent := seed%2 == 0
 		d := b.members()[0]
 		number := uint64(0)
-		feed := func() {
+		sendNext := func() {
 			number++
-			b.ask(b.rand.IntN(9), request{number: number, idempotent: idempotent, timeout: 2 * time.Second})
+			b.sendRequest(b.rand.IntN(9), transmission{number: number, idempotent: idempotent, timeout: 2 * time.Second})
 		}
 		for i := range 1500 {
-			b.after(time.Duration(i)*700*time.Microsecond, feed)
+			b.after(time.Duration(i)*700*time.Microsecond, sendNext)
 		}
 		b.run(300 * time.Millisecond)
 		before := number
-		// The fabric stops handing it packets before it is gone.
+		// The network stops sending it packets before it has stopped.
 		b.after(250*time.Millisecond, func() { b.redirect = map[int]int{d: (d + 1) % 9} })
-		took := b.stop(d, 300*time.Millisecond)
+		took := b.stopGracefully(d, 300*time.Millisecond)
 		b.run(3 * time.Second)
 		for key, c := range b.callers {
 			sent++
@@ -63,8 +62,8 @@
 			qt.Assert(t, c.codes, qt.DeepEquals, []baobabstep.Code{ok}, qt.Commentf("seed %d, request %d", seed, key.Number))
 			qt.Assert(t, b.ran[key], qt.Equals, 1)
 		}
-		assertHonest(t, b, func(baobabstep.FlowKey) bool { return idempotent })
-		qt.Assert(t, took < time.Second, qt.IsTrue, qt.Commentf("got %v of the bench's time", took))
+		assertTruthfulResults(t, b, func(baobabstep.FlowKey) bool { return idempotent })
+		qt.Assert(t, took < time.Second, qt.IsTrue, qt.Commentf("got %v of simulated time", took))
 	}
 	t.Logf("%d of %d requests refused", refused, sent)
 	qt.Assert(t, refused <= sent/5000, qt.IsTrue, qt.Commentf("got %d of %d", refused, sent))
--- a/core/request/fleet_test.go
+++ b/core/request/testbed_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// Defaults, which the command line overrides.
+	// Defaults that the command line overrides.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "50")
 	flag.Parse()
@@ -56,31 +56,34 @@
 	return s
 }
 
-// bench is a few engines joined by a queue of packets, with stand-ins for the
-// targets and the callers. Its time moves only in run, and everything random
-// comes from one seed.
-type bench struct {
+// testBed simulates several engines connected by a queue of packets, with
+// simulated targets and callers. Its clock advances only in run, and all
+// randomness comes from one seed.
+type testBed struct {
 	t       reporter
 	now     time.Time
 	rand    *rand.Rand
 	service baobabstep.Service
 	config  *baobabstep.Config
 	vms     []*vm
-	targets map[baobabstep.TargetID]*backEnd
+	targets map[baobabstep.TargetID]*fakeTarget
 	events  events
-	order   int
-	// drop, when set, loses the packets for which it returns true.
-	drop func(b *bench, from, to string, p *baobabstep.Packet) bool
-	// double is the share of packets between VMs and callers sent twice.
-	double float64
+	nextSeq int
+	// drop, when set, drops the packets for which it returns true.
+	drop func(b *testBed, from, to string, p *baobabstep.Packet) bool
+	// duplicateShare is the share of packets between VMs and callers that are
+	// sent twice.
+	duplicateShare float64
 	// onRefusal is called for each refusal that a caller gets.
 	onRefusal func(key baobabstep.FlowKey, p *baobabstep.Packet)
-	// redirect names the VM that gets a caller's packets instead of another.
+	// redirect maps a VM to the VM that gets its packets from callers and targets
+	// instead.
 	redirect map[int]int
-	// sticky makes targets answer the VM that asked, not any VM.
-	sticky  bool
-	callers map[baobabstep.FlowKey]*callerState
-	// ran counts how often each request ran to its end on any target.
+	// answerToSender makes targets answer the VM that sent the attempt, instead
+	// of sometimes a random VM.
+	answerToSender bool
+	callers        map[baobabstep.FlowKey]*callerState
+	// ran counts how often each request ran to completion on any target.
 	ran map[baobabstep.FlowKey]int
 }
 
@@ -90,23 +93,24 @@
 	engine *Engine
 	slots  *target.Registry
 	dead   bool
-	// asleep VMs keep what they receive in inbox until they wake.
-	asleep bool
+	// paused VMs keep what they receive in inbox until they resume.
+	paused bool
 	inbox  []func()
 	view   *baobabstep.View
 }
 
-type backEnd struct {
+type fakeTarget struct {
 	busy int
-	// serviceTime is the mean of the random part of the time to serve,
-	// minTime the fixed part.
+	// serviceTime is the mean of the random part of the service time, minTime the
+	// fixed part.
 	serviceTime, minTime time.Duration
-	// refuse, when set, is the code of each refusal; silent answers nothing.
+	// refuse, when set, is the code with which the target refuses every request.
+	// A silent target doesn't reply.
 	refuse baobabstep.Code
 	silent bool
 }
 
-// callerState is what one caller was told of its request.
+// callerState holds the results that one caller got for its request.
 type callerState struct {
 	codes   []baobabstep.Code
 	answers int
@@ -117,12 +121,12 @@
 }
 
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at  time.Time
+	seq int
+	do  func()
 }
 
-// events is a heap by time, then by order of making.
+// events is a heap ordered by time, then by creation.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -131,7 +135,7 @@
 	if c := e[i].at.Compare(e[j].at); c != 0 {
 		return c < 0
 	}
-	return e[i].order < e[j].order
+	return e[i].seq < e[j].seq
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -143,40 +147,40 @@
 	return last
 }
 
-const oneWay = 500 * time.Microsecond
+const oneWayDelay = 500 * time.Microsecond
 
-// reporter is what testing.T and rapid.T have in common here.
+// reporter is the common part of testing.T and rapid.T.
 type reporter interface {
 	Helper()
 	Errorf(format string, args ...any)
 }
 
-func newBench(t reporter, vms, targets int, seed uint64) *bench {
-	b := &bench{
+func newTestBed(t reporter, vms, targets int, seed uint64) *testBed {
+	b := &testBed{
 		t: t, now: epoch, rand: rand.New(rand.NewPCG(seed, 1)), service: testService(targets),
-		targets: make(map[baobabstep.TargetID]*backEnd),
+		targets: make(map[baobabstep.TargetID]*fakeTarget),
 		callers: make(map[baobabstep.FlowKey]*callerState),
 		ran:     make(map[baobabstep.FlowKey]int),
 	}
 	b.config = &baobabstep.Config{Version: 1, Services: []baobabstep.Service{b.service}}
 	b.config.Index()
 	for i := range b.service.Targets {
-		b.targets[b.service.Targets[i].ID] = &backEnd{serviceTime: 10 * time.Millisecond}
+		b.targets[b.service.Targets[i].ID] = &fakeTarget{serviceTime: 10 * time.Millisecond}
 	}
 	for i := range vms {
 		b.vms = append(b.vms, &vm{index: i, id: vmID(i)})
 		b.start(i)
 	}
 	for _, v := range b.vms {
-		b.see(v.index, b.all()...)
+		b.setView(v.index, b.all()...)
 	}
-	// Past this time no VM is new any more.
+	// After this time no VM counts as recently started.
 	b.now = b.now.Add(2 * time.Minute)
 	return b
 }
 
 // start starts or restarts the process of a VM.
-func (b *bench) start(i int) {
+func (b *testBed) start(i int) {
 	v := b.vms[i]
 	broken := func(name, detail string) { b.t.Errorf("invariant %s: %s", name, detail) }
 	v.dead = false
@@ -186,9 +190,9 @@
 	v.engine.SetConfig(b.now, b.config)
 }
 
-func (b *bench) dataCentre(i int) string { return dataCentres[i%len(dataCentres)] }
+func (b *testBed) dataCentre(i int) string { return dataCentres[i%len(dataCentres)] }
 
-func (b *bench) all() []int {
+func (b *testBed) all() []int {
 	var all []int
 	for i := range b.vms {
 		all = append(all, i)
@@ -196,8 +200,8 @@
 	return all
 }
 
-// see gives a VM a view of the given members; negative ones are suspect.
-func (b *bench) see(i int, members ...int) {
+// setView gives a VM a view of the given members; negative ones are suspect.
+func (b *testBed) setView(i int, members ...int) {
 	v := &baobabstep.View{Self: b.vms[i].id, ChangedAt: b.now}
 	for _, m := range members {
 		state := baobabstep.VMAlive
@@ -211,21 +215,21 @@
 	b.vms[i].slots.SetView(b.now, v)
 }
 
-// suspect marks a member as suspect in see.
-func suspect(i int) int { return -i - 1 }
+// suspectMember marks a member as suspect for setView.
+func suspectMember(i int) int { return -i - 1 }
 
-// others returns all VMs but the given ones.
-func (b *bench) others(gone ...int) []int {
+// allExcept returns all VMs but the given ones.
+func (b *testBed) allExcept(gone ...int) []int {
 	return slices.DeleteFunc(b.all(), func(i int) bool { return slices.Contains(gone, i) })
 }
 
-func (b *bench) after(d time.Duration, do func()) {
-	b.order++
-	heap.Push(&b.events, event{b.now.Add(d), b.order, do})
+func (b *testBed) after(d time.Duration, do func()) {
+	b.nextSeq++
+	heap.Push(&b.events, event{b.now.Add(d), b.nextSeq, do})
 }
 
-// run lets time pass; engines are ticked every 20 ms.
-func (b *bench) run(d time.Duration) {
+// run advances the time and ticks the engines every 20 ms.
+func (b *testBed) run(d time.Duration) {
 	end := b.now.Add(d)
 	for next := b.now.Add(20 * time.Millisecond); !b.now.Equal(end); next = next.Add(20 * time.Millisecond) {
 		until := earlier(next, end)
@@ -236,14 +240,14 @@
 		}
 		b.now = until
 		for _, v := range b.vms {
-			if !v.dead && !v.asleep {
-				b.decide(v, func(out *baobabstep.Outbox) { v.engine.Tick(b.now, out) })
+			if !v.dead && !v.paused {
+				b.withOutbox(v, func(out *baobabstep.Outbox) { v.engine.Tick(b.now, out) })
 			}
 		}
 	}
 }
 
-func (b *bench) decide(v *vm, f func(out *baobabstep.Outbox)) {
+func (b *testBed) withOutbox(v *vm, f func(out *baobabstep.Outbox)) {
 	var out baobabstep.Outbox
 	f(&out)
 	for i := range out {
@@ -251,19 +255,19 @@
 	}
 }
 
-func (b *bench) send(from *vm, s *baobabstep.Send) {
+func (b *testBed) send(from *vm, s *baobabstep.Send) {
 	p := s.Packet
 	p.Payload = append([]byte(nil), p.Payload...)
 	name := fmt.Sprintf("vm-%d", from.index)
 	switch s.Dest {
 	case baobabstep.DestCaller:
-		b.carry(name, "caller", &p, func() { b.atCaller(&p) })
+		b.transmit(name, "caller", &p, func() { b.deliverToCaller(&p) })
 	case baobabstep.DestTarget:
-		b.carry(name, "target", &p, func() { b.atTarget(from, &p) })
+		b.transmit(name, "target", &p, func() { b.deliverToTarget(from, &p) })
 	case baobabstep.DestVM:
 		for _, v := range b.vms {
 			if v.id == s.VM {
-				b.carry(name, fmt.Sprintf("vm-%d", v.index), &p, func() { b.atVM(v, &p) })
+				b.transmit(name, fmt.Sprintf("vm-%d", v.index), &p, func() { b.deliverToVM(v, &p) })
 			}
 		}
 	default:
@@ -271,44 +275,45 @@
 	}
 }
 
-func (b *bench) carry(from, to string, p *baobabstep.Packet, arrive func()) {
+func (b *testBed) transmit(from, to string, p *baobabstep.Packet, arrive func()) {
 	if b.drop != nil && b.drop(b, from, to, p) {
 		return
 	}
-	b.after(oneWay, arrive)
-	if to != "target" && from != "target" && b.rand.Float64() < b.double {
-		b.after(oneWay+time.Duration(b.rand.Int64N(int64(time.Second))), arrive)
+	b.after(oneWayDelay, arrive)
+	if to != "target" && from != "target" && b.rand.Float64() < b.duplicateShare {
+		b.after(oneWayDelay+time.Duration(b.rand.Int64N(int64(time.Second))), arrive)
 	}
 }
 
-func (b *bench) atVM(v *vm, p *baobabstep.Packet) {
+func (b *testBed) deliverToVM(v *vm, p *baobabstep.Packet) {
 	if v.dead {
 		return
 	}
-	if v.asleep {
-		v.inbox = append(v.inbox, func() { b.atVM(v, p) })
+	if v.paused {
+		v.inbox = append(v.inbox, func() { b.deliverToVM(v, p) })
 		return
 	}
 	q := *p
-	b.decide(v, func(out *baobabstep.Outbox) { v.engine.Handle(b.now, &q, out) })
+	b.withOutbox(v, func(out *baobabstep.Outbox) { v.engine.Handle(b.now, &q, out) })
 }
 
-// atTarget is the stand-in of a target: it refuses what finds no free slot.
-func (b *bench) atTarget(from *vm, p *baobabstep.Packet) {
+// deliverToTarget simulates a target, which refuses requests while it has no free
+// slot.
+func (b *testBed) deliverToTarget(from *vm, p *baobabstep.Packet) {
 	t := b.targets[p.Target]
 	answer := *p
 	answer.FromTarget = true
 	answer.Route = baobabstep.Route{}
 	reply := func() {
 		v := from
-		if v.dead || (!b.sticky && b.rand.IntN(4) == 0) {
+		if v.dead || (!b.answerToSender && b.rand.IntN(4) == 0) {
 			v = b.vms[b.rand.IntN(len(b.vms))]
 		}
 		if other, ok := b.redirect[v.index]; ok {
 			v = b.vms[other]
 		}
 		q := answer
-		b.carry("target", fmt.Sprintf("vm-%d", v.index), &q, func() { b.atVM(v, &q) })
+		b.transmit("target", fmt.Sprintf("vm-%d", v.index), &q, func() { b.deliverToVM(v, &q) })
 	}
 	if p.Kind != baobabstep.KindRequest || t.silent {
 		return
@@ -332,7 +337,7 @@
 	})
 }
 
-func (b *bench) atCaller(p *baobabstep.Packet) {
+func (b *testBed) deliverToCaller(p *baobabstep.Packet) {
 	c := b.callers[p.Flow]
 	if want := fmt.Sprintf("question %d", p.Flow.Number); p.Kind == baobabstep.KindAnswer && p.Parts == 1 && string(p.Payload) != want {
 		b.t.Errorf("I3: request %d got the answer to %q", p.Flow.Number, p.Payload)
@@ -355,8 +360,8 @@
 	}
 }
 
-// request describes one transmission by a caller.
-type request struct {
+// transmission is one transmission of a request by a caller.
+type transmission struct {
 	number     uint64
 	seq        uint32
 	class      baobabstep.Class
@@ -364,7 +369,7 @@
 	timeout    time.Duration
 }
 
-func (b *bench) key(number uint64) baobabstep.FlowKey {
+func (b *testBed) key(number uint64) baobabstep.FlowKey {
 	return baobabstep.FlowKey{
 		Caller:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 2, byte(number % 16)}), 5000),
 		Service: b.service.Address,
@@ -372,8 +377,8 @@
 	}
 }
 
-// ask sends a caller's request to a VM.
-func (b *bench) ask(vm int, r request) baobabstep.FlowKey {
+// sendRequest sends a caller's request to a VM.
+func (b *testBed) sendRequest(vm int, r transmission) baobabstep.FlowKey {
 	key := b.key(r.number)
 	if b.callers[key] == nil {
 		b.callers[key] = &callerState{first: b.now}
@@ -386,18 +391,18 @@
 		vm = other
 	}
 	v := b.vms[vm]
-	b.carry("caller", fmt.Sprintf("vm-%d", vm), p, func() { b.atVM(v, p) })
+	b.transmit("caller", fmt.Sprintf("vm-%d", vm), p, func() { b.deliverToVM(v, p) })
 	return key
 }
 
-func (b *bench) cancel(vm int, number uint64) {
+func (b *testBed) sendCancel(vm int, number uint64) {
 	p := &baobabstep.Packet{Kind: baobabstep.KindCancel, Flow: b.key(number)}
 	v := b.vms[vm]
-	b.carry("caller", fmt.Sprintf("vm-%d", vm), p, func() { b.atVM(v, p) })
+	b.transmit("caller", fmt.Sprintf("vm-%d", vm), p, func() { b.deliverToVM(v, p) })
 }
 
 // members returns the indices of the group's set, dispatcher first.
-func (b *bench) members() []int {
+func (b *testBed) members() []int {
 	f := newFleet(b.now, b.vms[0].view, nil, 0)
 	s := f.setOf(groupID{service: b.service.ID, groups: 1}, &b.service, 0)
 	var m []int
@@ -407,31 +412,31 @@
 	return m
 }
 
-// outsider returns a VM that is not in the set.
-func (b *bench) outsider() int {
+// nonMember returns a VM that is not in the set.
+func (b *testBed) nonMember() int {
 	m := b.members()
 	return slices.IndexFunc(b.all(), func(i int) bool { return !slices.Contains(m, i) })
 }
 
-// assertTold checks the results that one caller was told, in order.
-func assertTold(t testing.TB, b *bench, key baobabstep.FlowKey, want ...baobabstep.Code) {
+// assertResults checks the result codes that one caller got, in order.
+func assertResults(t testing.TB, b *testBed, key baobabstep.FlowKey, want ...baobabstep.Code) {
 	t.Helper()
 	qt.Assert(t, b.callers[key].codes, qt.DeepEquals, want)
 }
 
-// assertHonest checks I4 and I5 over all requests.
-func assertHonest(t reporter, b *bench, idempotent func(key baobabstep.FlowKey) bool) {
+// assertTruthfulResults checks the invariants I4 and I5 for all requests.
+func assertTruthfulResults(t reporter, b *testBed, idempotent func(key baobabstep.FlowKey) bool) {
 	t.Helper()
 	for key, c := range b.callers {
 		for _, code := range c.codes {
 			notRun := code == baobabstep.CodeRefusedNotRun || code == baobabstep.CodeOverloaded ||
 				code == baobabstep.CodeStopping || code == baobabstep.CodeDeadlineExceeded || code == baobabstep.CodeCancelled
 			if notRun && b.ran[key] > 0 {
-				t.Errorf("request %d: told %v, but it ran", key.Number, code)
+				t.Errorf("request %d: got result %v, but it ran", key.Number, code)
 			}
 		}
 		if !idempotent(key) && b.ran[key] > 1 {
-			t.Errorf("request %d: not idempotent and run %d times", key.Number, b.ran[key])
+			t.Errorf("request %d: not idempotent, but it ran %d times", key.Number, b.ran[key])
 		}
 	}
 }
--- a/core/request/tombstone.go
+++ b/core/request/tombstone.go
@@ -7,77 +7,78 @@
 	"baobabstep"
 )
 
-// tombstone is what is left of a request whose entry was removed: enough to never
-// run it, and to tell its caller the same again.
+// tombstone is what remains of a request whose entry was removed: enough to never
+// run it again and to repeat its result code to the caller.
 type tombstone struct {
-	code  baobabstep.Code
-	token uint32
+	code       baobabstep.Code
+	ownerToken uint32
 	// owner is the VM that owns the claim.
 	owner baobabstep.VMID
 }
 
-// tombstones holds tombstones for between one and two periods. Whole generations are
-// dropped, so that nothing scans them.
+// tombstones keeps each tombstone for between one and two periods. It drops a
+// whole generation at a time, which needs no scan.
 type tombstones struct {
-	young, old map[baobabstep.KeyHash]tombstone
-	turned     time.Time
-	// lost is when the newest tombstone that was dropped early was made.
-	lost time.Time
+	current, previous map[baobabstep.KeyHash]tombstone
+	rotatedAt         time.Time
+	// newestLost is when the newest tombstone that was dropped early was created.
+	newestLost time.Time
 }
 
-// maxTombstones bounds a generation, and with it the memory that a flood can take:
-// some 50 MB for both.
+// maxTombstones limits a generation, and thereby the memory that a flood can
+// take, about 50 MB for both generations.
 const maxTombstones = 1 << 19
 
-func (t *tombstones) turn(now time.Time, period time.Duration) {
-	early := len(t.young) >= maxTombstones
-	if t.young != nil && now.Sub(t.turned) < period && !early {
+func (t *tombstones) rotate(now time.Time, period time.Duration) {
+	early := len(t.current) >= maxTombstones
+	if t.current != nil && now.Sub(t.rotatedAt) < period && !early {
 		return
 	}
-	if early && len(t.old) > 0 {
-		t.lost = t.turned
+	if early && len(t.previous) > 0 {
+		t.newestLost = t.rotatedAt
 	}
-	t.old = t.young
-	t.young = make(map[baobabstep.KeyHash]tombstone)
-	t.turned = now
+	t.previous = t.current
+	t.current = make(map[baobabstep.KeyHash]tombstone)
+	t.rotatedAt = now
 }
 
 func (t *tombstones) add(now time.Time, period time.Duration, h baobabstep.KeyHash, v tombstone) {
-	t.turn(now, period)
-	t.young[h] = v
+	t.rotate(now, period)
+	t.current[h] = v
 }
 
 func (t *tombstones) get(now time.Time, period time.Duration, h baobabstep.KeyHash) (tombstone, bool) {
-	t.turn(now, period)
-	if v, ok := t.young[h]; ok {
+	t.rotate(now, period)
+	if v, ok := t.current[h]; ok {
 		return v, true
 	}
-	v, ok := t.old[h]
+	v, ok := t.previous[h]
 	return v, ok
 }
 
-// reach is how far back no tombstone was lost.
-func (t *tombstones) reach(now time.Time) time.Duration {
-	if t.lost.IsZero() {
+// completeFor returns how far back no tombstone was dropped early.
+func (t *tombstones) completeFor(now time.Time) time.Duration {
+	if t.newestLost.IsZero() {
 		return math.MaxInt64
 	}
-	return now.Sub(t.lost)
+	return now.Sub(t.newestLost)
 }
 
-func (t *tombstones) len() int { return len(t.young) + len(t.old) }
+func (t *tombstones) len() int { return len(t.current) + len(t.previous) }
 
-// leaveTombstone replaces the entry by a tombstone, where one is needed: an idempotent
-// request that was answered may run again.
-func (en *entry) leaveTombstone(now time.Time) {
+// replaceByTombstone removes the entry and leaves a tombstone where one is
+// needed. An idempotent request that was answered needs none, since it may run
+// again.
+func (en *entry) replaceByTombstone(now time.Time) {
 	g := en.group
 	en.remove()
 	if en.idempotent && en.result.code == baobabstep.CodeOK && en.owner == 0 {
 		return
 	}
-	t := tombstone{code: en.result.code, token: en.token, owner: en.owner}
+	t := tombstone{code: en.result.code, ownerToken: en.ownerToken, owner: en.owner}
 	if t.owner == 0 {
 		t.owner = g.engine.opts.Self
-		t.token = g.engine.token
+		t.ownerToken = g.engine.claimToken
 	}
 	if t.code == baobabstep.CodeOK {
 		// The answer is no longer kept.
