--- a/core/heartbeat/view_test.go
+++ b/core/heartbeat/view_test.go
@@ -99,9 +99,9 @@
 		if !vm.runs(f.now) {
 			continue
 		}
-		share := vm.board.View(f.now).Of(42, f.limit)
+		share := vm.board.View(f.now).ShareOf(42, f.limit)
 		for vm.meter.Allows(f.now, share) {
-			vm.meter.Use(f.now, share)
+			vm.meter.Record(f.now, share)
 			f.uses = append(f.uses, f.now)
 		}
 	}
--- a/core/quota/design_test.go
+++ b/core/quota/design_test.go
@@ -27,10 +27,10 @@
 }
 
 func (l *sharesLimiter) allows(now, _ time.Time, n int, view *View) bool {
-	l.shares[n] = view.Of(limiterKey, l.limit)
+	l.shares[n] = view.ShareOf(limiterKey, l.limit)
 	return l.meters[n].Allows(now, l.shares[n])
 }
-func (l *sharesLimiter) record(now, _ time.Time, n int) { l.meters[n].Use(now, l.shares[n]) }
+func (l *sharesLimiter) record(now, _ time.Time, n int) { l.meters[n].Record(now, l.shares[n]) }
 func (l *sharesLimiter) bytesPerSecond(int) float64     { return 0 }
 
 // timeSlotLimiter assigns each time slot of a second to one VM, by its wall
--- a/core/quota/meter.go
+++ b/core/quota/meter.go
@@ -17,11 +17,11 @@
 	case len(m.used) < s.Count:
 		return true
 	}
-	return now.Sub(m.used[s.Count-1]) >= s.Every
+	return now.Sub(m.used[s.Count-1]) >= s.Interval
 }
 
-// Use records one use, whether it was allowed or not.
-func (m *Meter) Use(now time.Time, s Share) {
+// Record adds one use, whether it was allowed or not.
+func (m *Meter) Record(now time.Time, s Share) {
 	keep := min(len(m.used), max(0, s.Count-1))
 	m.used = append([]time.Time{now}, m.used[:keep]...)
 }
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -52,18 +52,18 @@
 	Settled bool
 }
 
-// Share is what one VM may use: Count uses in any interval of length Every. The
+// Share is what one VM may use: Count uses in any time span of Interval. The
 // zero value permits none.
 type Share struct {
-	Count int
-	Every time.Duration
+	Count    int
+	Interval time.Duration
 }
 
 // boundShare is the maximum part of the bound that VMs with the same view use.
 const boundShare = 0.5
 
-// Of returns this VM's share of a limit on the resource with the given key.
-func (v *View) Of(key uint64, l Limit) Share {
+// ShareOf returns this VM's share of a limit on the resource with the given key.
+func (v *View) ShareOf(key uint64, l Limit) Share {
 	usable := min(l.PerSecond, l.Bound*boundShare)
 	if !v.Settled || usable <= 0 || l.Bound < 1 {
 		return Share{}
@@ -73,7 +73,7 @@
 		if rank > 0 {
 			return Share{}
 		}
-		return Share{Count: 1, Every: time.Duration(math.Ceil(float64(time.Second) / usable))}
+		return Share{Count: 1, Interval: time.Duration(math.Ceil(float64(time.Second) / usable))}
 	}
 	total, vms := int(usable), 1+len(v.Others)
 	count := total / vms
@@ -83,7 +83,7 @@
 	if count == 0 {
 		return Share{}
 	}
-	return Share{Count: count, Every: time.Second}
+	return Share{Count: count, Interval: time.Second}
 }
 
 // rank returns how many other VMs rank before this one for a key.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -53,8 +53,8 @@
 				for key := range uint64(20) {
 					sum := 0.0
 					for _, view := range views {
-						if s := view.Of(key, limit); s.Count > 0 {
-							sum += float64(s.Count) / s.Every.Seconds()
+						if s := view.ShareOf(key, limit); s.Count > 0 {
+							sum += float64(s.Count) / s.Interval.Seconds()
 						}
 					}
 					qt.Assert(t, sum <= min(limit.PerSecond, limit.Bound/2)+1e-6, qt.IsTrue, qt.Commentf("got %v", sum))
@@ -78,26 +78,26 @@
 		{"a bound below one use", settled, Limit{PerSecond: 5, Bound: 0.9}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, test.view.Of(1, test.limit), qt.Equals, Share{})
+			qt.Assert(t, test.view.ShareOf(1, test.limit), qt.Equals, Share{})
 		})
 	}
 }
 
 func TestMeter(t *testing.T) {
-	share := Share{Count: 2, Every: time.Second}
+	share := Share{Count: 2, Interval: time.Second}
 	var m Meter
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, ms := range []int{0, 100} {
 		qt.Assert(t, m.Allows(at(ms), share), qt.IsTrue)
-		m.Use(at(ms), share)
+		m.Record(at(ms), share)
 	}
 	qt.Assert(t, m.Allows(at(999), share), qt.IsFalse)
 	qt.Assert(t, m.Allows(at(1000), share), qt.IsTrue)
-	m.Use(at(1000), share)
+	m.Record(at(1000), share)
 	qt.Assert(t, m.Allows(at(1099), share), qt.IsFalse)
 	qt.Assert(t, m.Allows(at(1100), share), qt.IsTrue)
 	t.Run("a share that shrinks counts what was used before", func(t *testing.T) {
-		qt.Assert(t, m.Allows(at(1100), Share{Count: 1, Every: time.Second}), qt.IsFalse)
+		qt.Assert(t, m.Allows(at(1100), Share{Count: 1, Interval: time.Second}), qt.IsFalse)
 	})
 	t.Run("no share allows nothing", func(t *testing.T) {
 		qt.Assert(t, m.Allows(at(9000), Share{}), qt.IsFalse)
@@ -139,9 +139,9 @@
 				if step >= held[n].change {
 					view = views[n][held[n].second]
 				}
-				share := view.Of(7, limit)
+				share := view.ShareOf(7, limit)
 				for meters[n].Allows(now, share) {
-					meters[n].Use(now, share)
+					meters[n].Record(now, share)
 					uses[step]++
 				}
 			}
--- a/core/request/admit.go
+++ b/core/request/admit.go
@@ -54,9 +54,9 @@
 // copies of one packet.
 func (g *group) claimWindow(p *baobabstep.Packet) time.Duration {
 	if p.Seq == 0 {
-		return g.engine.opts.Settle
+		return g.engine.opts.DuplicateWindow
 	}
-	return g.engine.opts.Remember
+	return g.engine.opts.RetransmissionWindow
 }
 
 // timeout returns the time left for the request.
@@ -105,7 +105,7 @@
 	if now.Add(wait + g.capacity.serviceTime).After(en.deadline) {
 		return baobabstep.CodeOverloaded
 	}
-	limit := time.Duration(g.engine.opts.UrgentWait * float64(g.capacity.serviceTime))
+	limit := time.Duration(g.engine.opts.MaxUrgentWait * float64(g.capacity.serviceTime))
 	// The backlog of a dispatcher change is worked off first.
 	tookOver := now.Sub(g.tookOverAt) < 3*maxTakeOver
 	if en.class == baobabstep.ClassUrgent && wait > limit && !tookOver {
--- a/core/request/answer.go
+++ b/core/request/answer.go
@@ -39,7 +39,7 @@
 		return
 	}
 	n := len(p.Payload)
-	if t.bytes+n > g.engine.opts.MaxAnswer || g.shard.partialBytes+n > g.engine.opts.MaxPending {
+	if t.bytes+n > g.engine.opts.MaxAnswerBytes || g.shard.partialBytes+n > g.engine.opts.MaxPendingBytes {
 		g.finishTooLarge(now, en, out)
 		return
 	}
@@ -91,7 +91,7 @@
 	s.keptAnswers = append(s.keptAnswers, en)
 	for len(s.keptAnswers) > 0 {
 		oldest := s.keptAnswers[0]
-		if s.keptBytes <= s.engine.opts.MaxPending && oldest.result.keptBytes > 0 {
+		if s.keptBytes <= s.engine.opts.MaxPendingBytes && oldest.result.keptBytes > 0 {
 			return
 		}
 		s.keptAnswers[0] = nil
--- a/core/request/claim.go
+++ b/core/request/claim.go
@@ -127,7 +127,7 @@
 func (g *group) storeClaim(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	en := g.ledger[p.Flow]
 	if en == nil {
-		if t, ok := g.tombstones.get(now, g.engine.opts.Remember, g.engine.hash(p.Flow)); ok {
+		if t, ok := g.tombstones.get(now, g.engine.opts.RetransmissionWindow, g.engine.hash(p.Flow)); ok {
 			g.engine.stats.conflicts.Add(1)
 			g.replyToClaim(now, p, baobabstep.CodeConflict, t.owner, out)
 			return
@@ -142,7 +142,7 @@
 		en.idempotent = p.Idempotent
 		en.attempt = p.Attempt
 		en.deadline = now.Add(p.Timeout)
-		en.setTimer(en.deadline.Add(g.engine.opts.Settle))
+		en.setTimer(en.deadline.Add(g.engine.opts.DuplicateWindow))
 	}
 	code := baobabstep.CodeOK
 	if en.state != stateStored || en.owner != p.Route.From || en.ownerToken != p.Seq {
@@ -225,7 +225,7 @@
 	en.owner = owner
 	en.setState(stateMoved)
 	en.scheduleTombstone(now)
-	if en.claim.window < g.engine.opts.Remember {
+	if en.claim.window < g.engine.opts.RetransmissionWindow {
 		return
 	}
 	// The caller retransmitted the request, so its result may have been lost. The
--- a/core/request/group.go
+++ b/core/request/group.go
@@ -150,7 +150,7 @@
 		g.handleKnown(now, en, p, out)
 		return
 	}
-	if t, ok := g.tombstones.get(now, g.engine.opts.Remember, g.engine.hash(p.Flow)); ok {
+	if t, ok := g.tombstones.get(now, g.engine.opts.RetransmissionWindow, g.engine.hash(p.Flow)); ok {
 		g.handleTombstone(now, t, p, out)
 		return
 	}
--- a/core/request/ledger.go
+++ b/core/request/ledger.go
@@ -82,14 +82,14 @@
 type result struct {
 	code       baobabstep.Code
 	retryAfter time.Duration
-	// answer is kept for retransmissions within the limit of MaxPending.
+	// answer is kept for retransmissions within MaxPendingBytes.
 	answer    [][]byte
 	keptBytes int
 }
 
 // addEntry adds a new entry to the ledger. It returns nil if the shard is full.
 func (g *group) addEntry(now time.Time, p *baobabstep.Packet, st state) *entry {
-	if g.shard.numEntries >= g.engine.opts.MaxEntries {
+	if g.shard.numEntries >= g.engine.opts.MaxShardEntries {
 		g.engine.stats.ledgerFull.Add(1)
 		return nil
 	}
@@ -128,11 +128,11 @@
 	delete(en.group.ledger, en.key)
 }
 
-// scheduleTombstone keeps the entry for retransmissions for Settle, after which a
-// tombstone replaces it.
+// scheduleTombstone keeps the entry for retransmissions for DuplicateWindow, after
+// which a tombstone replaces it.
 func (en *entry) scheduleTombstone(now time.Time) {
 	en.payload = nil
-	en.setTimer(now.Add(en.group.engine.opts.Settle))
+	en.setTimer(now.Add(en.group.engine.opts.DuplicateWindow))
 }
 
 // finish ends a request, sends its result to the caller and keeps the result.
--- a/core/request/request.go
+++ b/core/request/request.go
@@ -53,9 +53,9 @@
 	"baobabstep/core/target"
 )
 
-// SlotChooser assigns the slots of targets to requests. [target.Registry]
+// SlotAllocator assigns the slots of targets to requests. [target.Registry]
 // implements it.
-type SlotChooser interface {
+type SlotAllocator interface {
 	// PickSlot takes a slot until SlotDone is called.
 	PickSlot(now time.Time, q target.Slot) (baobabstep.TargetID, baobabstep.Code)
 	// SlotDone releases a slot and reports the outcome of the attempt.
@@ -67,58 +67,58 @@
 	Slots(now time.Time, service baobabstep.ServiceID, group, groups int) (int, time.Duration)
 }
 
-var _ SlotChooser = (*target.Registry)(nil)
+var _ SlotAllocator = (*target.Registry)(nil)
 
 // Options configures an Engine. Zero limits are replaced by the defaults.
 type Options struct {
 	Self       baobabstep.VMID
 	DataCentre string
-	Targets    SlotChooser
+	Targets    SlotAllocator
 	// Rand seeds the engine's own generators and is not used after New.
 	Rand *rand.Rand
 	// Invariant, when set, is called for each invariant violation after it was
 	// counted.
 	Invariant func(name, detail string)
 
-	// Settle is how long a former set still votes on the claims of first
+	// DuplicateWindow is how long a former set still votes on the claims of first
 	// transmissions (default 3 s). It must exceed the longest delay between two
 	// copies of one packet plus the time until all VMs that can reach each other
 	// have the same view.
-	Settle time.Duration
-	// Remember is the minimum time for which a request is remembered, and how
-	// long a former set still votes on the claims of retransmissions (default
-	// 60 s). It must exceed the longest MaxTimeout plus Settle.
-	Remember time.Duration
+	DuplicateWindow time.Duration
+	// RetransmissionWindow is the minimum time for which a request is remembered,
+	// and how long a former set still votes on the claims of retransmissions
+	// (default 60 s). It must exceed the longest MaxTimeout plus DuplicateWindow.
+	RetransmissionWindow time.Duration
 	// ClaimTimeout is the time after which a claim without a majority is
 	// abandoned (default 500 ms). ClaimResend is the interval between its
 	// transmissions (default 60 ms).
 	ClaimTimeout, ClaimResend time.Duration
 	// MaxAttempts limits the attempts of an idempotent request (default 3).
 	MaxAttempts int
-	// MaxAnswer limits the bytes of a multi-part answer (default 1 MiB).
-	MaxAnswer int
-	// MaxPending limits, per shard, the bytes of incomplete answers and,
+	// MaxAnswerBytes limits the bytes of a multi-part answer (default 1 MiB).
+	MaxAnswerBytes int
+	// MaxPendingBytes limits, per shard, the bytes of incomplete answers and,
 	// separately, of answers kept for retransmissions (default 4 MiB each).
-	MaxPending int
-	// MaxEntries limits the ledger entries of a shard (default 131072). An entry
-	// is kept until Settle after its end. Its tombstone, about 50 bytes, is kept
-	// for between one and two times Remember.
-	MaxEntries int
-	// UrgentWait limits the expected queueing time of urgent requests, as a
+	MaxPendingBytes int
+	// MaxShardEntries limits the ledger entries of a shard (default 131072). An
+	// entry is kept until DuplicateWindow after its end. Its tombstone, about 50
+	// bytes, is kept for between one and two times RetransmissionWindow.
+	MaxShardEntries int
+	// MaxUrgentWait limits the expected queueing time of urgent requests, as a
 	// multiple of the mean service time (default 1).
-	UrgentWait float64
+	MaxUrgentWait float64
 }
 
 func (o *Options) setDefaults() {
-	o.Settle = cmp.Or(o.Settle, 3*time.Second)
-	o.Remember = cmp.Or(o.Remember, time.Minute)
+	o.DuplicateWindow = cmp.Or(o.DuplicateWindow, 3*time.Second)
+	o.RetransmissionWindow = cmp.Or(o.RetransmissionWindow, time.Minute)
 	o.ClaimTimeout = cmp.Or(o.ClaimTimeout, 500*time.Millisecond)
 	o.ClaimResend = cmp.Or(o.ClaimResend, 60*time.Millisecond)
 	o.MaxAttempts = cmp.Or(o.MaxAttempts, 3)
-	o.MaxAnswer = cmp.Or(o.MaxAnswer, 1<<20)
-	o.MaxPending = cmp.Or(o.MaxPending, 4<<20)
-	o.MaxEntries = cmp.Or(o.MaxEntries, 1<<17)
-	o.UrgentWait = cmp.Or(o.UrgentWait, 1)
+	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, 1<<20)
+	o.MaxPendingBytes = cmp.Or(o.MaxPendingBytes, 4<<20)
+	o.MaxShardEntries = cmp.Or(o.MaxShardEntries, 1<<17)
+	o.MaxUrgentWait = cmp.Or(o.MaxUrgentWait, 1)
 }
 
 const numShards = 64
@@ -204,14 +204,14 @@
 }
 
 // regroupedServices returns the times at which the keys of services moved,
-// without those longer ago than Remember.
+// without those longer ago than RetransmissionWindow.
 func (e *Engine) regroupedServices(now time.Time, old, c *baobabstep.Config) map[baobabstep.ServiceID]time.Time {
 	regroupedAt := make(map[baobabstep.ServiceID]time.Time)
 	if old == nil {
 		return regroupedAt
 	}
 	for id, at := range *e.regroupedAt.Load() {
-		if now.Sub(at) < e.opts.Remember {
+		if now.Sub(at) < e.opts.RetransmissionWindow {
 			regroupedAt[id] = at
 		}
 	}
@@ -236,7 +236,7 @@
 func (e *Engine) SetView(now time.Time, v *baobabstep.View) {
 	e.updateMu.Lock()
 	defer e.updateMu.Unlock()
-	f := newFleet(now, v, e.view.Load(), e.opts.Remember)
+	f := newFleet(now, v, e.view.Load(), e.opts.RetransmissionWindow)
 	e.view.Store(f)
 	for i := range e.shards {
 		s := &e.shards[i]
--- a/core/request/set.go
+++ b/core/request/set.go
@@ -16,9 +16,9 @@
 type fleet struct {
 	view   *baobabstep.View
 	states map[baobabstep.VMID]baobabstep.VMState
-	// formerFleets are the fleets of the last Remember, oldest first. A group
-	// that is first used after a change of the view needs them to know its former
-	// sets.
+	// formerFleets are the fleets of the last RetransmissionWindow, oldest first.
+	// A group that is first used after a change of the view needs them to know
+	// its former sets.
 	formerFleets []formerFleet
 }
 
@@ -27,12 +27,13 @@
 	until time.Time
 }
 
-// newFleet returns the fleet of a view that replaces old.
-func newFleet(now time.Time, v *baobabstep.View, old *fleet, remember time.Duration) *fleet {
+// newFleet returns the fleet of a view that replaces old. It keeps the former
+// fleets within window.
+func newFleet(now time.Time, v *baobabstep.View, old *fleet, window time.Duration) *fleet {
 	f := &fleet{view: v, states: make(map[baobabstep.VMID]baobabstep.VMState, len(v.Members))}
 	if old != nil {
 		for _, former := range old.formerFleets {
-			if now.Sub(former.until) < remember {
+			if now.Sub(former.until) < window {
 				f.formerFleets = append(f.formerFleets, former)
 			}
 		}
@@ -195,7 +196,7 @@
 // started recently doesn't know the former sets. The most likely one is the
 // present set without this VM.
 func (g *group) initSets(now time.Time, f *fleet) {
-	if g.engine.uptime(now) < g.engine.opts.Remember {
+	if g.engine.uptime(now) < g.engine.opts.RetransmissionWindow {
 		g.formerSets = append(g.formerSets, formerSet{
 			set:   f.setOf(g.id, g.service, g.engine.opts.Self),
 			until: g.engine.startedAt,
@@ -229,7 +230,7 @@
 func (g *group) applyFleet(now time.Time, f *fleet) {
 	g.fleet = f
 	g.formerSets = slices.DeleteFunc(g.formerSets, func(s formerSet) bool {
-		return now.Sub(s.until) >= g.engine.opts.Remember
+		return now.Sub(s.until) >= g.engine.opts.RetransmissionWindow
 	})
 	next := f.setOf(g.id, g.service, 0)
 	if !next.equal(g.set) {
--- a/core/request/tombstone.go
+++ b/core/request/tombstone.go
@@ -84,7 +84,7 @@
 		// The answer is no longer kept.
 		t.code = baobabstep.CodeOutcomeUnknown
 	}
-	g.tombstones.add(now, g.engine.opts.Remember, en.hash, t)
+	g.tombstones.add(now, g.engine.opts.RetransmissionWindow, en.hash, t)
 }
 
 // handleTombstone handles a packet of a request that left a tombstone.
--- a/core/token/cold.go
+++ b/core/token/cold.go
@@ -47,7 +47,7 @@
 // shareOf returns this VM's share of the limit on a target.
 func (c *coldness) shareOf(id baobabstep.TargetID, view *quota.View, limit *coldLimit) quota.Share {
 	if c.view != view || c.limit != limit {
-		c.view, c.limit, c.share = view, limit, view.Of(uint64(id), limit.Limit)
+		c.view, c.limit, c.share = view, limit, view.ShareOf(uint64(id), limit.Limit)
 	}
 	return c.share
 }
@@ -144,7 +144,7 @@
 	}
 	t.load.mu.Lock()
 	defer t.load.mu.Unlock()
-	t.load.cold.meter.Use(now, t.load.cold.share)
+	t.load.cold.meter.Record(now, t.load.cold.share)
 }
 
 // SetView tells which VMs of the data centre divide what its cold targets bear.
