--- a/core/request/group.go
+++ b/core/request/group.go
@@ -108,9 +108,8 @@
 // forwarded to it.
 const dispatchIdleGap = time.Second
 
-// noteDispatching records that this VM dispatches. It does so although its own
-// view has another dispatcher if a VM with a newer view forwarded a request to
-// it.
+// noteDispatching records that this VM dispatches, which it also does against its
+// own view if a VM with a newer view forwarded a request to it.
 func (g *group) noteDispatching(now time.Time) {
 	if g.set.dispatcher != g.engine.opts.Self && now.Sub(g.lastDispatched) > dispatchIdleGap {
 		g.tookOverAt = now
--- a/core/request/request.go
+++ b/core/request/request.go
@@ -28,8 +28,8 @@
 // was not run. A VM owns the claim once a majority of the group's set has stored it,
 // and a majority of every former set that still counts. A VM stores the claim of one
 // owner only, so two VMs cannot both get a majority. A VM that started recently may
-// have lost claims that it stored; its replies say how far back its records reach, and
-// the claimer doesn't count them if that is not far enough.
+// have lost claims that it stored. Its replies say how far back its records reach,
+// and the claimer doesn't count them if that is not far enough.
 //
 // Without a claim the caller gets "outcome unknown".
 //
