--- a/core/token/admission.go
+++ b/core/token/admission.go
@@ -9,52 +9,50 @@
 )
 
 const (
-	// lateAt is the mean time of answers, as a part of the aim of a route, from
-	// which its ordinary flows are refused. Times in a queue spread so far that
-	// one answer in ten is late at four tenths.
+	// admissionAimFraction is the mean answer time, as a fraction of the route's answer
+	// time limit (aim), above which ordinary flows are refused. Answer times in a queue
+	// vary so much that at a mean of 0.4 of the limit one answer in ten is late.
 	//
-	// The load that it answers is one beyond the slots, in which every queue is
-	// full: what is taken then waits behind a whole queue, is late, and makes all
-	// others late. Lower, calm days would be refused flows.
-	lateAt = 0.3
-	// calmFactor is by how much longer than in calm times answers have to take as
-	// well. Where the aim is hardly more than what a request takes in a slot,
-	// nothing is gained by refusing: it is not the queue that makes them late.
-	calmFactor = 1.5
+	// The limit is meant for loads that exceed the slots, with every queue full: a request
+	// admitted then waits behind a full queue, is late, and delays all others. A lower
+	// fraction would refuse flows under normal load.
+	admissionAimFraction = 0.3
+	// admissionUnloadedFactor is the ratio of the mean answer time to the unloaded answer
+	// time that has to be exceeded as well. Where the limit is close to the service time of
+	// a request, answers are late without any queue, and refusing flows does not help.
+	admissionUnloadedFactor = 1.5
 )
 
-// admits tells whether a new flow of the rule is taken, where answers of the best
-// target take the given time, and a calm time while hardly any request waits;
-// draw is a random number.
+// admits reports whether to accept a new flow of the rule, given the answer time of the
+// best target and the unloaded answer time of the service; draw is a random number.
 //
-// The part that is refused grows with the time: just as much is taken as keeps
-// the time where it is, so that admission does not swing between all and nothing.
-// A caller that is refused knows at once, may try again, and knows that nothing
-// ran.
-func (r *rule) admits(took, calm time.Duration, draw uint64) bool {
-	limit := max(lateAt*r.aim.Seconds(), calmFactor*calm.Seconds())
-	if !r.ordinary || r.aim <= 0 || calm <= 0 || took.Seconds() <= limit {
+// The refused fraction grows with the answer time, so that just enough flows are admitted
+// to keep the answer time constant; admission then does not oscillate between all and none.
+// A refused caller learns at once that nothing ran, and may retry.
+func (r *rule) admits(answerTime, unloaded time.Duration, draw uint64) bool {
+	limit := max(admissionAimFraction*r.aim.Seconds(), admissionUnloadedFactor*unloaded.Seconds())
+	if !r.ordinary || r.aim <= 0 || unloaded <= 0 || answerTime.Seconds() <= limit {
 		return true
 	}
-	return float64(draw)/math.MaxUint64 < limit/took.Seconds()
+	return float64(draw)/math.MaxUint64 < limit/answerTime.Seconds()
 }
 
-// leastUrgent returns, for each service, the priority of its least urgent rule.
-func leastUrgent(table *baobabstep.RoutingTable) map[string]int {
-	least := make(map[string]int)
+// lowestPriorities returns, for each service, the priority value of its least urgent rule.
+func lowestPriorities(table *baobabstep.RoutingTable) map[string]int {
+	lowest := make(map[string]int)
 	for i := range table.Rules {
 		for _, share := range table.Rules[i].Shares {
-			if priority, known := least[share.Service]; !known || table.Rules[i].Priority > priority {
-				least[share.Service] = table.Rules[i].Priority
+			if priority, known := lowest[share.Service]; !known || table.Rules[i].Priority > priority {
+				lowest[share.Service] = table.Rules[i].Priority
 			}
 		}
 	}
-	return least
+	return lowest
 }
 
-// isOrdinary tells whether the flows of a rule may be refused for want of room:
-// their requests may be repeated, and no rule of the same service is less urgent.
-func isOrdinary(rule *baobabstep.Rule, leastUrgent map[string]int) bool {
-	lessUrgent := func(s baobabstep.Share) bool { return leastUrgent[s.Service] > rule.Priority }
+// isOrdinary reports whether flows of a rule may be refused under overload: its requests
+// may be repeated, and no rule of the same service is less urgent.
+func isOrdinary(rule *baobabstep.Rule, lowest map[string]int) bool {
+	lessUrgent := func(s baobabstep.Share) bool { return lowest[s.Service] > rule.Priority }
 	return rule.Repeatable && !slices.ContainsFunc(rule.Shares, lessUrgent)
 }
--- a/core/token/answers.go
+++ b/core/token/answers.go
@@ -12,173 +12,178 @@
 )
 
 const (
-	// settledAfter is how long nothing more of an answer may be acknowledged for
-	// it to be whole. Callers acknowledge a lone last packet after 40 ms, and
-	// targets repeat what was lost after 200 ms; those are rare.
-	settledAfter = 150 * time.Millisecond
-	// hangFactor is how many times as long as the mean of its service a request
-	// may take before it counts as unanswered, and shortestHang the least such
-	// time: callers repeat what was lost after 0.2 s. In a queue of eight before
-	// two slots a request takes five times the mean.
-	hangFactor   = 10
-	shortestHang = 250 * time.Millisecond
+	// answerSettleDelay is the time without further acknowledgements after which an answer
+	// counts as complete. Callers may delay the acknowledgement of a lone last packet by 40
+	// ms, and targets retransmit after 200 ms; both cases are rare.
+	answerSettleDelay = 150 * time.Millisecond
+	// A request counts as unanswered after hangTimeFactor times the mean answer time of its
+	// service, but not before minHangTime, because callers retransmit after 0.2 s. In a
+	// queue of eight before two slots a request takes five times the mean.
+	hangTimeFactor = 10
+	minHangTime    = 250 * time.Millisecond
 )
 
-// service is what this VM knows of the answers of one service over all its
-// targets, for as long as the VM runs.
-type service struct {
-	mu  sync.Mutex
-	sum answer.Sum
-	// cold and warm are the answers of targets that were cold, and of the others.
-	cold, warm answer.Sum
-	// mean is the time of answers at the last look, calm what it is while hardly
-	// any request waits, and slowdown by how much longer cold targets took.
-	mean, calm time.Duration
-	slowdown   float64
-	// urgentAt is when a flow that is not ordinary came last.
-	urgentAt time.Time
+// serviceStats holds what this VM has learned of the answers of one service, over all its
+// targets, since the VM started.
+type serviceStats struct {
+	mu         sync.Mutex
+	allAnswers answer.Sum
+	// coldAnswers and warmAnswers are the answers of targets that were cold, and of the
+	// others.
+	coldAnswers, warmAnswers answer.Sum
+	// meanTime is the mean answer time at the last refresh, unloadedTime the mean answer
+	// time under light load, and coldSlowdown the ratio of the answer time of cold targets
+	// to that of warm ones.
+	meanTime, unloadedTime time.Duration
+	coldSlowdown           float64
+	// lastUrgentAt is when the last flow came that is not ordinary.
+	lastUrgentAt time.Time
 }
 
 const (
-	// calmRise is the part of the distance to the present mean by which the calm
-	// time grows at each look, ten times a second: requests that take longer for
-	// good are known after some minutes, an overload of 30 s raises it by a
-	// quarter of what it adds.
-	calmRise = 0.001
-	// calmAnswers is the number of answers from which their mean may be the calm
-	// time, or that of cold targets. That of fewer is off by chance.
-	calmAnswers = 10
+	// unloadedRiseRate is the fraction of the distance to the present mean by which the
+	// unloaded time rises at each refresh, ten times a second. A lasting increase is
+	// adopted within minutes, while an overload of 30 s raises the value by a quarter of
+	// the difference.
+	unloadedRiseRate = 0.001
+	// minMeanAnswers is the number of answers from which the mean is used for the unloaded
+	// time and the slowdown of cold targets. The mean of fewer answers varies too much by
+	// chance.
+	minMeanAnswers = 10
 )
 
-func (s *service) add(now time.Time, outcome answer.Outcome, took time.Duration, cold bool) {
+func (s *serviceStats) addOutcome(now time.Time, outcome answer.Outcome, took time.Duration, cold bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sum.Add(now, outcome, took)
+	s.allAnswers.Add(now, outcome, took)
 	if cold {
-		s.cold.Add(now, outcome, took)
+		s.coldAnswers.Add(now, outcome, took)
 	} else {
-		s.warm.Add(now, outcome, took)
+		s.warmAnswers.Add(now, outcome, took)
 	}
 }
 
-// coldFactor returns by how much longer cold targets took than others, 1 before
-// enough of both were seen.
-func (s *service) coldFactor() float64 {
+// coldSlowdownFactor returns the ratio of the answer time of cold targets to that of warm
+// ones; 1 until enough answers of both were seen.
+func (s *serviceStats) coldSlowdownFactor() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(1, s.slowdown)
+	return max(1, s.coldSlowdown)
 }
 
-// look notes the mean time of the answers that were seen lately.
-func (s *service) look(now time.Time) {
+// refresh recomputes the mean times from the recent answers.
+func (s *serviceStats) refresh(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sample := s.sum.Sample(now)
+	sample := s.allAnswers.Sample(now)
 	if sample.Took <= 0 {
 		return
 	}
-	s.mean = sample.Took
-	if cold, warm := s.cold.Sample(now), s.warm.Sample(now); min(cold.Answers, warm.Answers) >= calmAnswers && warm.Took > 0 {
-		s.slowdown = cold.Took.Seconds() / warm.Took.Seconds()
+	s.meanTime = sample.Took
+	if cold, warm := s.coldAnswers.Sample(now), s.warmAnswers.Sample(now); min(cold.Answers, warm.Answers) >= minMeanAnswers && warm.Took > 0 {
+		s.coldSlowdown = cold.Took.Seconds() / warm.Took.Seconds()
 	}
 	switch {
-	case sample.Answers < calmAnswers:
-	case s.calm == 0 || s.mean < s.calm:
-		s.calm = s.mean
+	case sample.Answers < minMeanAnswers:
+	case s.unloadedTime == 0 || s.meanTime < s.unloadedTime:
+		s.unloadedTime = s.meanTime
 	default:
-		s.calm += time.Duration(calmRise * float64(s.mean-s.calm))
+		s.unloadedTime += time.Duration(unloadedRiseRate * float64(s.meanTime-s.unloadedTime))
 	}
 }
 
-// calmTime returns how long answers take while hardly any request waits, 0 before
-// enough were seen.
-func (s *service) calmTime() time.Duration {
+// unloadedAnswerTime returns the mean answer time under light load, 0 until enough answers
+// were seen.
+func (s *serviceStats) unloadedAnswerTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calm
+	return s.unloadedTime
 }
 
-// time returns how long answers take, 0 before any was seen.
-func (s *service) time() time.Duration {
+// meanAnswerTime returns the mean answer time, 0 until an answer was seen.
+func (s *serviceStats) meanAnswerTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.mean
+	return s.meanTime
 }
 
-// services are those that ever had a target.
-type services struct {
-	mu   sync.Mutex
-	list map[string]*service
+// serviceRegistry holds the statistics of every service that ever had a target.
+type serviceRegistry struct {
+	mu     sync.Mutex
+	byName map[string]*serviceStats
 }
 
-func newServices() *services { return &services{list: make(map[string]*service)} }
+func newServiceRegistry() *serviceRegistry {
+	return &serviceRegistry{byName: make(map[string]*serviceStats)}
+}
 
-func (s *services) get(name string) *service {
+func (s *serviceRegistry) get(name string) *serviceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found := s.list[name]
+	found := s.byName[name]
 	if found == nil {
-		found = new(service)
-		s.list[name] = found
+		found = new(serviceStats)
+		s.byName[name] = found
 	}
 	return found
 }
 
-func (s *services) all() []*service {
+func (s *serviceRegistry) all() []*serviceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Values(s.list))
+	return slices.Collect(maps.Values(s.byName))
 }
 
-// watch notes that a target has to be judged.
-func (r *Router) watch(t *target) { r.watched.add(t.id) }
+// scheduleReview marks a target for the next reviewVerdicts.
+func (r *Router) scheduleReview(t *target) { r.pendingReviews.add(t.id) }
 
-// settle counts the outcome of a flow's request, whose answer is acknowledged as
-// far as acked.
-func (r *Router) settle(now time.Time, f *flow, acked uint32) {
-	if !f.asked || !after(acked, f.requestAcked) {
+// settleRequest counts the outcome of the flow's pending request once bytes of its answer
+// are acknowledged; acked is the end of the answer.
+func (r *Router) settleRequest(now time.Time, f *flow, acked uint32) {
+	if !f.outcomePending || !seqAfter(acked, f.requestAcked) {
 		return
 	}
-	f.asked = false
+	f.outcomePending = false
 	outcome := answer.Answered
-	if f.rule.sizes.Add(acked - f.requestAcked) {
+	if f.rule.answerSizes.Add(acked - f.requestAcked) {
 		outcome = answer.Short
 	}
-	if outcome == answer.Answered && f.took == 0 {
-		return // acknowledged with the next request, so its time is not known
+	if outcome == answer.Answered && f.answerTime == 0 {
+		return // acknowledged together with the next request, so the answer time is unknown
 	}
-	r.count(now, f, outcome)
+	r.countOutcome(now, f, outcome)
 }
 
-// lookAt settles a request whose answer is whole, and one that hangs.
-func (r *Router) lookAt(now time.Time, f *flow) {
-	if !f.asked || f.opening || f.closed {
+// checkRequest settles a request whose answer is complete, and counts one that hangs as
+// unanswered.
+func (r *Router) checkRequest(now time.Time, f *flow) {
+	if !f.outcomePending || f.opening || f.closed {
 		return
 	}
-	if after(f.acked, f.requestAcked) {
-		if now.Sub(f.progressAt) >= settledAfter {
-			r.settle(now, f, f.acked)
+	if seqAfter(f.acked, f.requestAcked) {
+		if now.Sub(f.lastProgressAt) >= answerSettleDelay {
+			r.settleRequest(now, f, f.acked)
 		}
 		return
 	}
-	if now.Sub(f.sent) >= max(hangFactor*f.target.service.time(), shortestHang) {
-		f.asked = false
-		r.count(now, f, answer.Unanswered)
+	if now.Sub(f.requestSentAt) >= max(hangTimeFactor*f.target.service.meanAnswerTime(), minHangTime) {
+		f.outcomePending = false
+		r.countOutcome(now, f, answer.Unanswered)
 	}
 }
 
-// count takes in an outcome of a request.
-func (r *Router) count(now time.Time, f *flow, outcome answer.Outcome) {
+// countOutcome records the outcome of a request.
+func (r *Router) countOutcome(now time.Time, f *flow, outcome answer.Outcome) {
 	r.counts.outcomes[outcome].Add(1)
-	if f.target.load.count(now, outcome, callerHash(f.key), f.took) {
-		f.target.service.add(now, outcome, f.took, now.Before(f.target.coldUntil))
+	if f.target.load.addOutcome(now, outcome, callerHash(f.key), f.answerTime) {
+		f.target.service.addOutcome(now, outcome, f.answerTime, now.Before(f.target.coldUntil))
 	}
 	if outcome != answer.Answered {
-		r.watch(f.target)
+		r.scheduleReview(f.target)
 	}
 }
 
-// callerHash returns the hash of a flow's caller, whatever its port.
+// callerHash returns a hash of a flow's caller that does not depend on its port.
 func callerHash(key baobabstep.FlowKey) uint64 {
 	caller := key
 	caller.Caller = netip.AddrPortFrom(key.Caller.Addr(), 0)
@@ -186,55 +191,56 @@
 	return uint64(hashFlow(caller))
 }
 
-// count counts an outcome at the target, and tells whether it did.
-func (l *load) count(now time.Time, outcome answer.Outcome, caller uint64, took time.Duration) bool {
+// addOutcome counts an outcome at the target and reports whether it was counted.
+func (l *load) addOutcome(now time.Time, outcome answer.Outcome, caller uint64, took time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
 	return l.tally.Add(now, outcome, caller, took)
 }
 
-// judged returns what is thought of the target.
-func (l *load) judged() answer.Verdict {
+// currentVerdict returns the verdict on the target.
+func (l *load) currentVerdict() answer.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.verdict
 }
 
-// trialGap returns the time between two flows of this VM to a target on trial, so
-// that the VMs of its data centre together send one each answer.TrialGap.
-func (r *Router) trialGap() time.Duration {
-	return answer.TrialGap * time.Duration(r.vms())
+// trialInterval returns the time between two flows of this VM to a target on trial, so that
+// the VMs of its data centre together send one flow each answer.TrialGap.
+func (r *Router) trialInterval() time.Duration {
+	return answer.TrialGap * time.Duration(r.vmCount())
 }
 
-// judge brings the verdicts of the watched targets up to date.
-func (r *Router) judge(now time.Time, s *snapshot) {
+// reviewVerdicts refreshes the service statistics and updates the verdicts of the targets
+// marked for review.
+func (r *Router) reviewVerdicts(now time.Time, s *snapshot) {
 	for _, service := range s.services.all() {
-		service.look(now)
+		service.refresh(now)
 	}
-	if !r.on(MechanismAnswers) {
+	if !r.enabled(MechanismAnswers) {
 		return
 	}
 	peers := make(map[string]float64)
-	for _, t := range r.takeWatched(s) {
+	for _, t := range r.takePendingReviews(s) {
 		name := t.registration.Service
 		if _, known := peers[name]; !known {
-			peers[name] = r.peerShare(now, s.pools[name])
+			peers[name] = r.peerFailureShare(now, s.pools[name])
 		}
-		changed, verdict, e := t.load.judge(now, peers[name], r.on(MechanismTrials))
+		changed, verdict, e := t.load.updateVerdict(now, peers[name], r.enabled(MechanismTrials))
 		if changed {
 			r.recordVerdict(now, s, t, verdict.State, e)
 		}
-		if verdict.State != answer.Trusted || e.Target.Failed >= leastTold {
-			r.watch(t)
+		if verdict.State != answer.Trusted || e.Target.Failed >= minReportedFailures {
+			r.scheduleReview(t)
 		}
 	}
 }
 
-// takeWatched takes the watched targets that are known, in the order of their
-// identifiers.
-func (r *Router) takeWatched(s *snapshot) (list []*target) {
-	for _, id := range r.watched.take() {
+// takePendingReviews returns the targets marked for review, in the order of their
+// identifiers, and clears the marks. Unknown targets are skipped.
+func (r *Router) takePendingReviews(s *snapshot) (list []*target) {
+	for _, id := range r.pendingReviews.take() {
 		if t := s.targets[id]; t != nil {
 			list = append(list, t)
 		}
@@ -242,27 +248,28 @@
 	return list
 }
 
-// peersLooked bounds the targets whose answers are compared with one another.
-const peersLooked = 64
+// maxPeerSamples bounds the number of targets whose answers are compared with one another.
+const maxPeerSamples = 64
 
-// peerShare returns the usual share of failures among targets of a pool, by what
-// this VM saw itself: other VMs tell of those that stand out only.
-func (r *Router) peerShare(now time.Time, p *pool) float64 {
+// peerFailureShare returns the usual share of failures among targets of a pool. It uses
+// only answers seen by this VM, since other VMs report only targets that stand out.
+func (r *Router) peerFailureShare(now time.Time, p *pool) float64 {
 	if p == nil {
 		return 0
 	}
-	samples := make([]answer.Sample, 0, peersLooked)
-	for t := range p.ring(int(r.draw()%uint64(len(p.targets))), peersLooked, nil).all() {
+	samples := make([]answer.Sample, 0, maxPeerSamples)
+	for t := range p.window(int(r.randomUint64()%uint64(len(p.targets))), maxPeerSamples, nil).all() {
 		samples = append(samples, t.load.ownAnswers(now))
 	}
 	return answer.PeerShare(samples)
 }
 
-// time returns how long answers of the target take, as far as VMs told.
-func (l *load) time(now time.Time) time.Duration {
+// answerTime returns the mean answer time of the target, over this VM and the reports of
+// other VMs.
+func (l *load) answerTime(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tally.Sample(now).Plus(l.othersAnswers).Took
+	return l.tally.Sample(now).Plus(l.otherAnswers).Took
 }
 
 // ownAnswers returns what this VM saw of the target's answers.
@@ -272,12 +279,13 @@
 	return l.tally.Sample(now)
 }
 
-// judge brings the verdict up to date; peers is the usual share of failures.
-func (l *load) judge(now time.Time, peers float64, trials bool) (changed bool, verdict answer.Verdict, e answer.Evidence) {
+// updateVerdict updates the verdict on the target; peers is the usual share of failures in
+// its service.
+func (l *load) updateVerdict(now time.Time, peers float64, trials bool) (changed bool, verdict answer.Verdict, e answer.Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e = answer.Evidence{
-		Target: l.tally.Sample(now).Plus(l.othersAnswers), Peers: peers, Callers: l.tally.Callers(now) | l.othersCallers,
+		Target: l.tally.Sample(now).Plus(l.otherAnswers), Peers: peers, Callers: l.tally.Callers(now) | l.otherCallers,
 	}
 	changed = l.verdict.Judge(now, e)
 	if !trials && l.verdict.State == answer.OnTrial {
--- a/core/token/answers_test.go
+++ b/core/token/answers_test.go
@@ -9,8 +9,8 @@
 	"baobabstep"
 )
 
-// outcomes returns what the router counted, without those that did not occur.
-func outcomes(r *Router) map[string]uint64 {
+// countedOutcomes returns the outcomes that the router counted, without zero counts.
+func countedOutcomes(r *Router) map[string]uint64 {
 	counted := make(map[string]uint64)
 	for name, count := range r.Stats().Outcomes {
 		if count > 0 {
@@ -20,11 +20,12 @@
 	return counted
 }
 
-// A caller that opens a flow for one request ends it once it has the answer. The
-// last acknowledgement, of the target's end, overtakes the caller's own end and
-// stands one past what was sent. Taken for a request it was never answered: on a
-// calm day a third of such flows counted as unanswered, and twice as load.
-func TestEndOfAFlowIsNoRequest(t *testing.T) {
+// Guards against counting the end of a flow as an unanswered request. A caller that opens a
+// flow for one request closes it after the answer. Its last acknowledgement, of the
+// target's close, overtakes its own close and is one past the end of the payload. Counted
+// as a request, it made a third of such flows unanswered under normal load, and doubled the
+// load.
+func TestFlowEndIsNotCountedAsRequest(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, results)
 	_, token := open(t, r, start, key)
@@ -40,21 +41,22 @@
 	for ms := 100; ms <= 900; ms += 100 {
 		r.Tick(start.Add(time.Duration(ms)*time.Millisecond), new([]baobabstep.Forward))
 	}
-	qt.Assert(t, outcomes(r), qt.DeepEquals, map[string]uint64{"answered": 1})
+	qt.Assert(t, countedOutcomes(r), qt.DeepEquals, map[string]uint64{"answered": 1})
 	own, _ := r.current.Load().targets[3].load.requests(start.Add(30 * time.Millisecond))
 	qt.Assert(t, own > 0.97 && own <= 1, qt.IsTrue, qt.Commentf("%v requests", own))
 }
 
-// A request that is not answered for ten times the usual counts once, however long
-// it goes on; a caller that leaves before says nothing of the target.
-func TestRequestsThatHang(t *testing.T) {
+// Guards against counting a hanging request more than once. A request that is unanswered
+// for ten times the usual time counts once, however long it lasts. If the caller leaves
+// earlier, nothing counts against the target.
+func TestHangingRequestCountsOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		last baobabstep.Kind
 		want map[string]uint64
 	}{
-		"goes on":          {baobabstep.KindData, map[string]uint64{"unanswered": 1}},
-		"the caller left":  {baobabstep.KindReset, map[string]uint64{}},
-		"the caller ended": {baobabstep.KindClose, map[string]uint64{}},
+		"the caller keeps waiting":   {baobabstep.KindData, map[string]uint64{"unanswered": 1}},
+		"the caller resets the flow": {baobabstep.KindReset, map[string]uint64{}},
+		"the caller closes the flow": {baobabstep.KindClose, map[string]uint64{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(t)
@@ -67,7 +69,7 @@
 			for ms := 200; ms <= 1200; ms += 100 {
 				r.Tick(start.Add(time.Duration(ms)*time.Millisecond), new([]baobabstep.Forward))
 			}
-			qt.Assert(t, outcomes(r), qt.DeepEquals, test.want)
+			qt.Assert(t, countedOutcomes(r), qt.DeepEquals, test.want)
 		})
 	}
 }
--- a/core/token/avoid_test.go
+++ b/core/token/avoid_test.go
@@ -9,108 +9,110 @@
 	"baobabstep"
 )
 
-// A target falls silent in a fleet in which each VM has a flow to it once in some
-// seconds. Callers of open flows would wait for their time limits. Three VMs that
-// each found one flow unanswered, a first segment among them, are enough for all
-// others; what may be one broken link, a lost datagram or an overload is not.
-func TestWordOfManyVMs(t *testing.T) {
+// Guards against callers of open flows that wait for their timeouts because each VM of a
+// large fleet sends a silent target a flow only every few seconds. If three VMs each found
+// one flow unanswered, one of them a first segment, that suffices for all other VMs.
+// Evidence that one broken link, a lost datagram or an overload can explain does not.
+func TestReportsOfSeveralVMs(t *testing.T) {
 	now := start.Add(time.Minute)
 	repeated := baobabstep.Silence{Unanswered: 1, LeftAt: now}
 	opened := baobabstep.Silence{Unanswered: 1, Opens: 1, LeftAt: now}
-	old := baobabstep.Silence{Unanswered: 1, Opens: 1, LeftAt: now.Add(-freshFor)}
+	old := baobabstep.Silence{Unanswered: 1, Opens: 1, LeftAt: now.Add(-evidenceLifetime)}
 	manyOfOne := baobabstep.Silence{Unanswered: 40, Opens: 40, LeftAt: now}
 	for _, test := range []struct {
-		name     string
-		said     []baobabstep.Silence
-		heardAgo time.Duration // by another VM
-		dark     bool
-		suspect  bool
+		name        string
+		reports     []baobabstep.Silence
+		heardAgo    time.Duration // when another VM last heard from it
+		unreachable bool
+		suspect     bool
 	}{
 		{"three VMs, one first segment", []baobabstep.Silence{repeated, repeated, opened}, time.Hour, true, true},
 		{"three VMs, an overload: it accepts flows", []baobabstep.Silence{repeated, repeated, repeated}, time.Hour, false, false},
 		{"two VMs, datagrams may be lost", []baobabstep.Silence{opened, opened}, time.Hour, false, true},
 		{"one VM, whose link is full", []baobabstep.Silence{manyOfOne}, time.Hour, false, true},
-		{"three VMs, but one of them long ago", []baobabstep.Silence{repeated, opened, old}, time.Hour, false, true},
-		{"three VMs, but a fourth has heard of it since", []baobabstep.Silence{repeated, opened, opened}, 100 * time.Millisecond, false, false},
-		{"three VMs, a fourth heard of it before", []baobabstep.Silence{repeated, opened, opened}, freshAnswer, true, true},
+		{"three VMs, but one report has expired", []baobabstep.Silence{repeated, opened, old}, time.Hour, false, true},
+		{"three VMs, but a fourth has heard from it since", []baobabstep.Silence{repeated, opened, opened}, 100 * time.Millisecond, false, false},
+		{"three VMs, a fourth heard from it before", []baobabstep.Silence{repeated, opened, opened}, callerCopyDelay, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := health{reports: test.said, othersHeardAt: now.Add(-test.heardAgo)}
-			qt.Check(t, h.dark(now, false), qt.Equals, test.dark)
+			h := health{reports: test.reports, othersHeardAt: now.Add(-test.heardAgo)}
+			qt.Check(t, h.unreachable(now, false), qt.Equals, test.unreachable)
 			qt.Check(t, h.suspect(now), qt.Equals, test.suspect)
 		})
 	}
 }
 
-// Requests at a target go unanswered at two VMs, and nobody has sent it a new flow.
-// The next flow of each VM goes there, so that within 200 ms all know; as soon as
-// one such flow is left unanswered, or refused, no more do.
-func TestDoubtfulTargetGetsOneFlowOfEachVM(t *testing.T) {
+// Guards against slow detection of an unreachable target that gets no new flows. Two VMs
+// have unanswered requests there. The next flow of each VM goes to the target, so that all
+// VMs know within 200 ms; once one such flow is unanswered or refused, no further ones
+// follow.
+func TestProbeOfTargetWithUnansweredRequests(t *testing.T) {
 	now := start.Add(time.Minute)
 	repeated := baobabstep.Silence{Unanswered: 1, LeftAt: now}
 	h := health{reports: []baobabstep.Silence{repeated, repeated}}
-	qt.Assert(t, h.doubtful(now), qt.IsTrue)
-	h.tried(now)
-	qt.Assert(t, h.doubtful(now), qt.IsFalse)
+	qt.Assert(t, h.needsProbe(now), qt.IsTrue)
+	h.noteTrial(now)
+	qt.Assert(t, h.needsProbe(now), qt.IsFalse)
 	for _, found := range []baobabstep.Silence{{Unanswered: 1, Opens: 1, LeftAt: now}, {Unanswered: 1, Vanished: 1, LeftAt: now}} {
 		h := health{reports: []baobabstep.Silence{repeated, repeated, found}}
-		qt.Assert(t, h.doubtful(now), qt.IsFalse)
+		qt.Assert(t, h.needsProbe(now), qt.IsFalse)
 		qt.Assert(t, h.suspect(now), qt.IsTrue)
 	}
 }
 
-// A target is dark for seconds. What was found of it is old after one; 39 VMs then
-// sent it a flow each to find out again, and each caller lost 200 ms or more. With
-// trials spread over the VMs about one flow goes there in a second.
+// Guards against simultaneous trials of an unreachable target by all VMs. Evidence expires
+// after one second; without spread trials, 39 VMs then sent it a flow each, and each of
+// these callers lost 200 ms or more. With spread trials about one flow a second goes there.
 func TestTrialsOfAnAvoidedTargetAreSpread(t *testing.T) {
 	const vms = 39
 	tries := 0
 	for n := range vms {
 		now := start.Add(time.Minute)
-		h := health{reports: silentTo(2, 1, now)}
-		h.avoid(now, vms, float64(n+1)/vms)
+		h := health{reports: silenceReports(2, 1, now)}
+		h.startAvoidance(now, vms, float64(n+1)/vms)
 		qt.Assert(t, h.suspect(now), qt.IsTrue)
-		for range 40 { // 4 s in which nobody else finds anything
+		for range 40 { // 4 s without new evidence from other VMs
 			now = now.Add(100 * time.Millisecond)
 			if !h.suspect(now) {
 				tries++
-				h.tried(now)
+				h.noteTrial(now)
 			}
 		}
 	}
 	qt.Assert(t, tries <= 8, qt.IsTrue, qt.Commentf("%d flows in 4 s", tries))
 }
 
-// A target that was avoided is heard of: the trial of one VM has succeeded. All take
-// it back at once; if it fails again soon, it is avoided for longer.
+// Guards against an avoidance that outlasts the recovery of the target. Once the trial of
+// one VM succeeds, all VMs use the target again; if it fails again soon, it is avoided for
+// longer.
 func TestAvoidanceEndsWithAnAnswer(t *testing.T) {
 	now := start.Add(time.Minute)
 	avoided := func() *health {
-		h := &health{reports: silentTo(2, 1, now)}
-		h.avoid(now, 10, 0.5)
+		h := &health{reports: silenceReports(2, 1, now)}
+		h.startAvoidance(now, 10, 0.5)
 		qt.Assert(t, h.suspect(now.Add(4*time.Second)), qt.IsTrue)
 		return h
 	}
 	later := now.Add(2 * time.Second)
-	t.Run("of this VM", func(t *testing.T) {
+	t.Run("answer seen by this VM", func(t *testing.T) {
 		h := avoided()
-		h.answered(later)
+		h.noteAnswer(later)
 		qt.Assert(t, h.suspect(later), qt.IsFalse)
 	})
-	t.Run("of another one", func(t *testing.T) {
+	t.Run("answer reported by another VM", func(t *testing.T) {
 		h := avoided()
 		h.setSilence(baobabstep.TargetLoad{HeardAt: later})
 		qt.Assert(t, h.suspect(later), qt.IsFalse)
-		h.setSilence(baobabstep.TargetLoad{Silence: silentTo(2, 1, later.Add(time.Second)), HeardAt: later})
-		h.avoid(later.Add(time.Second), 10, 0.1)
-		qt.Assert(t, h.avoidGap, qt.Equals, 2*firstTrial)
+		h.setSilence(baobabstep.TargetLoad{Silence: silenceReports(2, 1, later.Add(time.Second)), HeardAt: later})
+		h.startAvoidance(later.Add(time.Second), 10, 0.1)
+		qt.Assert(t, h.fleetTrialInterval, qt.Equals, 2*minTrialPause)
 	})
-	t.Run("and others are told", func(t *testing.T) {
+	t.Run("answer is reported to other VMs", func(t *testing.T) {
 		r := newRouter(t)
 		l := r.current.Load().targets[1].load
-		l.health.reports = silentTo(2, 1, now)
-		l.avoid(now, 10, 0.5)
-		r.answered(later, r.current.Load().targets[1])
+		l.health.reports = silenceReports(2, 1, now)
+		l.startAvoidance(now, 10, 0.5)
+		r.noteAnswer(later, r.current.Load().targets[1])
 		told := r.Troubles(later)
 		qt.Assert(t, told, qt.HasLen, 1)
 		qt.Assert(t, told[0].HeardAt, qt.Equals, later)
@@ -118,11 +120,11 @@
 	})
 }
 
-// A target takes a request, acknowledges it and dies. Its caller has nothing to
-// repeat and waits for its limit; other callers find the target silent. Once that is
-// sure the VM ends the flow by itself, so that the caller tries again at once. A flow
-// that waits for nothing is left alone.
-func TestRequestsAtADarkTargetAreGivenUp(t *testing.T) {
+// Guards against callers that wait for their timeouts because the target acknowledged the
+// request before it died, so that they have nothing to retransmit. Once other callers have
+// shown the target to be unreachable, the VM resets the flow so that the caller retries at
+// once. A flow without a pending request is not reset.
+func TestPendingRequestsAtUnreachableTargetAreReset(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(2))
 	var waiting, idle baobabstep.Segment
@@ -142,14 +144,14 @@
 		}
 	}
 	now := start.Add(time.Second)
-	dark := r.current.Load().targets[1]
-	r.current.Load().targets[2].load.answered(now)
+	unreachable := r.current.Load().targets[1]
+	r.current.Load().targets[2].load.noteAnswer(now)
 	tick := func() (ended []baobabstep.Forward) {
 		r.Tick(now, &ended)
 		return ended
 	}
 	qt.Assert(t, tick(), qt.HasLen, 0)
-	dark.load.setSilence(baobabstep.TargetLoad{Silence: silentTo(3, 1, now)})
+	unreachable.load.setSilence(baobabstep.TargetLoad{Silence: silenceReports(3, 1, now)})
 	ended := tick()
 	qt.Assert(t, ended, qt.HasLen, 1)
 	qt.Assert(t, ended[0].Flow, qt.Equals, waiting.Flow)
--- a/core/token/choose.go
+++ b/core/token/choose.go
@@ -6,252 +6,254 @@
 )
 
 const (
-	// farMargin is what a target of another data centre has to be less busy by
-	// to be chosen, as a share of its slots. Its answers take longer, its bytes
-	// are paid for, and a partition takes its flows.
-	farMargin = 0.3
-	// scanMost bounds the targets that are looked at for one new flow where few
-	// of them are near and fit: on a small VM thousands would take longer than the
-	// flow's way to its target (BenchmarkChoose).
-	scanMost = 256
-	// enoughNear is the number of targets of the own data centre, fit for a new
-	// flow, of which the least loaded is chosen. Of all of them it would always
-	// be the one that seems idle, such as a new one, for every VM at once until they
-	// hear of one another; it then refuses most of what it gets. Of a few that are
-	// drawn it gets no more than its slots and its queue take.
-	enoughNear = 8
-	// assumedTime is what a request takes, in seconds, before any was seen.
-	assumedTime = 0.03
+	// remotePenalty is added to the score of a target in another data centre, as a share of
+	// its slots. Its answers take longer, traffic between data centres costs money, and a
+	// partition breaks its flows.
+	remotePenalty = 0.3
+	// maxScannedTargets bounds the targets examined for one new flow where few of them are
+	// local and suitable. On a small VM, examining thousands takes longer than the flow's
+	// way to its target (BenchmarkChoose).
+	maxScannedTargets = 256
+	// enoughLocalCandidates is the number of suitable local targets among which the least
+	// loaded is chosen. Choosing among all targets would send the new flows of every VM to
+	// the one that seems idle, such as a new target, until the VMs learn of each other's
+	// flows; that target would refuse most of them. With a few randomly drawn candidates a
+	// target gets no more than its slots and its queue take.
+	enoughLocalCandidates = 8
+	// defaultServiceTime is the assumed service time in seconds until one was measured.
+	defaultServiceTime = 0.03
 )
 
-// choose returns the target of a new flow. It is nil if there is none, and not
-// admitted if the flow should be refused although there is one. It takes avoid
-// only where there is no other.
-func (r *Router) choose(now time.Time, s *snapshot, route *rule, h flowHash, avoid *target) (t *target, admitted bool) {
-	p := s.pools[route.service(r.draw())]
+// chooseTarget returns the target of a new flow, nil if there is none. admitted is false if
+// the flow has to be refused, even if there is a target. previous is the target of the
+// caller's previous try; it is chosen only if there is no other.
+func (r *Router) chooseTarget(now time.Time, s *snapshot, route *rule, h flowHash, previous *target) (t *target, admitted bool) {
+	p := s.pools[route.pickService(r.randomUint64())]
 	if p == nil || len(p.targets) == 0 {
 		return nil, false
 	}
 	var limit *coldLimit
-	if r.on(MechanismColdLimits) {
+	if r.enabled(MechanismColdLimits) {
 		limit = s.coldLimits[p.targets[0].registration.Service]
 	}
-	start := int(r.draw() % uint64(len(p.targets)))
-	best, took := r.best(now, route, p.ring(start, scanMost, limit), avoid)
-	if best == nil && len(p.targets) > scanMost {
-		best, took = r.best(now, route, p.ring(start, len(p.targets), limit), avoid)
+	start := int(r.randomUint64() % uint64(len(p.targets)))
+	best, answerTime := r.bestCandidate(now, route, p.window(start, maxScannedTargets, limit), previous)
+	if best == nil && len(p.targets) > maxScannedTargets {
+		best, answerTime = r.bestCandidate(now, route, p.window(start, len(p.targets), limit), previous)
 	}
 	if best == nil || p.find(h, tokenFor(h, best.id)) == nil {
-		return nil, false // another target has the same token; the caller's next try has another port
+		return nil, false // two targets have the same token; the caller's next try uses another port
 	}
-	return best, !r.on(MechanismAdmission) || route.admits(took, best.service.calmTime(), r.draw())
+	return best, !r.enabled(MechanismAdmission) || route.admits(answerTime, best.service.unloadedAnswerTime(), r.randomUint64())
 }
 
-// ring is a part of a pool: count targets from start on, past the end from the
-// first one on. limit is what the service's cold targets bear, nil for any number.
-type ring struct {
+// poolWindow is a part of a pool: count targets from index start, wrapping around at the
+// end. limit is the service's limit on cold targets, nil for none.
+type poolWindow struct {
 	targets      []*target
 	start, count int
 	limit        *coldLimit
 }
 
-// ring returns at most the given number of targets. Identifiers are random, so
-// neighbours have nothing in common.
-func (p *pool) ring(start, most int, limit *coldLimit) ring {
-	return ring{targets: p.targets, start: start, count: min(most, len(p.targets)), limit: limit}
+// window returns a window of at most the given number of targets. Identifiers are random,
+// so adjacent targets are unrelated.
+func (p *pool) window(start, maxCount int, limit *coldLimit) poolWindow {
+	return poolWindow{targets: p.targets, start: start, count: min(maxCount, len(p.targets)), limit: limit}
 }
 
-func (g ring) all() iter.Seq[*target] {
+func (w poolWindow) all() iter.Seq[*target] {
 	return func(yield func(*target) bool) {
-		for i := range g.count {
-			if !yield(g.targets[(g.start+i)%len(g.targets)]) {
+		for i := range w.count {
+			if !yield(w.targets[(w.start+i)%len(w.targets)]) {
 				return
 			}
 		}
 	}
 }
 
-// candidate is a target that may get new flows, and what is known of it now.
+// candidate is a target that may get new flows, and its present state.
 type candidate struct {
-	target  *target
-	assess  assessment
-	inReach bool
-	again   bool
+	target      *target
+	assessment  assessment
+	reachable   bool
+	previousTry bool
 }
 
-// best returns the target of a ring that a new flow should go to: one that is
-// not suspect, in reach and not avoided if there is one, and with fewer of these
-// wishes if not. took is how long its answers take.
-func (r *Router) best(now time.Time, route *rule, g ring, avoid *target) (best *target, took time.Duration) {
-	var space [scanMost]candidate
-	list := r.candidates(now, g, avoid, space[:0])
-	if g.limit != nil && len(list) > 0 {
-		list[0].target.service.noteFlow(now, route)
-		if r.leavesLast(now, route, list) {
+// bestCandidate returns the target of a window that a new flow should go to: one that is
+// not suspect, in a reachable data centre and not the previous try; if there is none, it
+// drops these criteria one by one. answerTime is the target's service time.
+func (r *Router) bestCandidate(now time.Time, route *rule, window poolWindow, previous *target) (best *target, answerTime time.Duration) {
+	var space [maxScannedTargets]candidate
+	list := r.collectCandidates(now, window, previous, space[:0])
+	if window.limit != nil && len(list) > 0 {
+		list[0].target.service.noteUrgentFlow(now, route)
+		if r.yieldsToUrgent(now, route, list) {
 			return nil, 0
 		}
 	}
-	c := r.comparison(route, list)
-	for w := wishAll; w <= wishNone; w++ {
-		if at := r.least(now, c, list, w); at >= 0 {
-			return list[at].target, time.Duration(list[at].assess.serviceTime(c.mean) * float64(time.Second))
+	params := r.newScoreParams(route, list)
+	for required := criteriaAll; required <= criteriaNone; required++ {
+		if at := r.leastLoaded(now, params, list, required); at >= 0 {
+			return list[at].target, time.Duration(list[at].assessment.serviceTime(params.meanTime) * float64(time.Second))
 		}
 	}
 	return nil, 0
 }
 
-// comparison is what the candidates for one flow are compared by.
-type comparison struct {
+// scoreParams are the inputs that are the same for all candidates of a flow.
+type scoreParams struct {
 	route *rule
-	// mean is the mean time of a request, in seconds.
-	mean float64
-	// coldFactor is by how much longer a cold target takes.
-	coldFactor float64
-	// trust is how much this VM goes by its own requests, from 0 to 1, and vms
-	// the number of VMs of its data centre.
-	trust, vms float64
+	// meanTime is the mean service time of a request, in seconds.
+	meanTime float64
+	// coldSlowdown is the ratio of the service time of a cold target to that of a warm one.
+	coldSlowdown float64
+	// ownWeight, from 0 to 1, is the weight of this VM's own requests in the load estimate;
+	// vmCount is the number of VMs of its data centre.
+	ownWeight, vmCount float64
 }
 
-// sureOwn is the number of recent requests for each candidate at which a VM goes
-// half by its own, half by the word of all.
+// ownWeightHalfPoint is the number of own recent requests for each candidate at which a
+// VM's own requests and the reports of all VMs have equal weight in the load estimate.
 //
-// What other VMs sent is known late: all of them go for the target that was idle,
-// until they hear of it from one another. A VM that sends several requests to each
-// target itself does better by taking the others for VMs like itself. In a large
-// fleet a VM sends a target less than one, and is lost without the others: one
-// request more or less, times the VMs, would outweigh farMargin, and flows would go
-// to other data centres for no reason, where a partition takes them.
-const sureOwn = 4.0
+// Reports of other VMs are late: all VMs choose the target that was idle, until they learn
+// of each other's requests. A VM that sends several requests to each target gets a better
+// estimate from its own requests, on the assumption that the other VMs behave alike. In a
+// large fleet a VM sends less than one request to a target and needs the reports: one
+// request more or less, multiplied by the number of VMs, would outweigh remotePenalty, and
+// flows would go to other data centres without need, where a partition breaks them.
+const ownWeightHalfPoint = 4.0
 
-func (r *Router) comparison(route *rule, list []candidate) comparison {
-	c := comparison{route: route, mean: meanTime(list), coldFactor: 1, vms: float64(r.vms())}
+func (r *Router) newScoreParams(route *rule, list []candidate) scoreParams {
+	params := scoreParams{route: route, meanTime: meanServiceTime(list), coldSlowdown: 1, vmCount: float64(r.vmCount())}
 	if len(list) > 0 {
-		c.coldFactor = list[0].target.service.coldFactor()
+		params.coldSlowdown = list[0].target.service.coldSlowdownFactor()
 	}
 	own := 0.0
 	for i := range list {
-		own += list[i].assess.own / float64(len(list))
+		own += list[i].assessment.ownRequests / float64(len(list))
 	}
-	if r.on(MechanismOwnLoads) {
-		c.trust = own * own / (own*own + sureOwn*sureOwn)
+	if r.enabled(MechanismOwnLoads) {
+		params.ownWeight = own * own / (own*own + ownWeightHalfPoint*ownWeightHalfPoint)
 	}
-	return c
+	return params
 }
 
-// requests returns the recent requests at a candidate, of all VMs.
-func (c *comparison) requests(a *assessment) float64 {
-	return c.trust*a.own*c.vms + (1-c.trust)*(a.own+a.others)
+// estimateRequests returns the estimated recent requests of all VMs at a candidate.
+func (p *scoreParams) estimateRequests(a *assessment) float64 {
+	return p.ownWeight*a.ownRequests*p.vmCount + (1-p.ownWeight)*(a.ownRequests+a.otherRequests)
 }
 
-// wishes are what a new flow's target should be, each with fewer than the one
-// before.
-type wishes uint8
+// criteria are requirements on the target of a new flow. Each value drops one requirement
+// of the value before.
+type criteria uint8
 
 const (
-	wishAll     wishes = iota // in reach, not avoided, not suspect
-	wishInReach               // in reach, not suspect
-	wishFit                   // not suspect
-	// wishNone: all look dark, then it is this VM that hears nothing.
-	wishNone
+	criteriaAll        criteria = iota // reachable, not the previous try, not suspect
+	criteriaReachable                  // reachable, not suspect
+	criteriaNotSuspect                 // not suspect
+	// criteriaNone accepts any target. If all targets are suspect, the fault is likely to
+	// be in this VM's own link.
+	criteriaNone
 )
 
-func (c *candidate) fulfils(w wishes) bool {
-	switch w {
-	case wishAll:
-		return c.inReach && !c.again && !c.assess.suspect
-	case wishInReach:
-		return c.inReach && !c.assess.suspect
-	case wishFit:
-		return !c.assess.suspect
+func (c *candidate) meets(required criteria) bool {
+	switch required {
+	case criteriaAll:
+		return c.reachable && !c.previousTry && !c.assessment.suspect
+	case criteriaReachable:
+		return c.reachable && !c.assessment.suspect
+	case criteriaNotSuspect:
+		return !c.assessment.suspect
 	default:
 		return true
 	}
 }
 
-// candidates appends the targets of a ring that may get new flows to list, until
-// it has enoughNear.
-func (r *Router) candidates(now time.Time, g ring, avoid *target, list []candidate) []candidate {
-	heard := *r.heard.Load()
-	near := 0
-	for t := range g.all() {
-		if !t.choosable(now) || g.limit != nil && !r.takesCold(now, t, g.limit) {
+// collectCandidates appends the targets of a window that may get new flows to list, and
+// stops at enoughLocalCandidates suitable local ones.
+func (r *Router) collectCandidates(now time.Time, window poolWindow, previous *target, list []candidate) []candidate {
+	heard := *r.vmsHeard.Load()
+	local := 0
+	for t := range window.all() {
+		if !t.acceptsNewFlows(now) || window.limit != nil && !r.coldLimitAllows(now, t, window.limit) {
 			continue
 		}
 		dc := t.registration.DataCentre
-		assess := t.load.assess(now)
-		assess.suspect = assess.suspect && r.on(MechanismSilence)
+		assessed := t.load.assess(now)
+		assessed.suspect = assessed.suspect && r.enabled(MechanismSilence)
 		list = append(list, candidate{
-			target: t, assess: assess,
-			inReach: dc == r.o.DataCentre || heard[dc] > 0,
-			again:   avoid != nil && t.id == avoid.id,
+			target: t, assessment: assessed,
+			reachable:   dc == r.options.DataCentre || heard[dc] > 0,
+			previousTry: previous != nil && t.id == previous.id,
 		})
-		if dc == r.o.DataCentre && list[len(list)-1].fulfils(wishAll) {
-			near++
+		if dc == r.options.DataCentre && list[len(list)-1].meets(criteriaAll) {
+			local++
 		}
-		if near == enoughNear && r.on(MechanismFew) {
+		if local == enoughLocalCandidates && r.enabled(MechanismFew) {
 			break
 		}
 	}
 	return list
 }
 
-// least returns the place of the least loaded candidate that fulfils the wishes,
-// or -1.
-func (r *Router) least(now time.Time, by comparison, list []candidate, w wishes) int {
+// leastLoaded returns the index of the candidate with the lowest score among those that
+// meet the criteria, or -1.
+func (r *Router) leastLoaded(now time.Time, params scoreParams, list []candidate, required criteria) int {
 	best := -1
 	least := 0.0
 	for i := range list {
 		c := &list[i]
-		if !c.fulfils(w) {
+		if !c.meets(required) {
 			continue
 		}
-		if score := r.score(now, &by, c); best < 0 || score < least {
+		if score := r.score(now, &params, c); best < 0 || score < least {
 			best, least = i, score
 		}
 	}
 	return best
 }
 
-// score orders candidates for new flows, the best first: by the share of their
-// slots that is busy, as far as requests and their times tell.
-func (r *Router) score(now time.Time, by *comparison, c *candidate) float64 {
+// score returns the estimated share of a candidate's slots that is busy, plus penalties.
+// The candidate with the lowest score is chosen; targets that need a probe or are due for a
+// trial flow score 0.
+func (r *Router) score(now time.Time, params *scoreParams, c *candidate) float64 {
 	switch {
-	case c.assess.doubtful && r.on(MechanismSilence):
+	case c.assessment.needsProbe && r.enabled(MechanismSilence):
 		return 0
-	case c.assess.trialDue && by.route.repeatable:
+	case c.assessment.trialDue && params.route.repeatable:
 		return 0
 	}
-	took := by.mean
-	if r.on(MechanismTimes) {
-		took = c.assess.serviceTime(by.mean)
+	serviceTime := params.meanTime
+	if r.enabled(MechanismTimes) {
+		serviceTime = c.assessment.serviceTime(params.meanTime)
 	}
-	if now.Before(c.target.coldUntil) && r.on(MechanismCold) {
-		took *= by.coldFactor
+	if now.Before(c.target.coldUntil) && r.enabled(MechanismCold) {
+		serviceTime *= params.coldSlowdown
 	}
-	score := by.requests(&c.assess) / loadWindow.Seconds() / float64(c.target.registration.Slots) * took
-	if c.target.registration.DataCentre != r.o.DataCentre && r.on(MechanismNear) {
-		score += farMargin
+	score := params.estimateRequests(&c.assessment) / loadWindow.Seconds() / float64(c.target.registration.Slots) * serviceTime
+	if c.target.registration.DataCentre != r.options.DataCentre && r.enabled(MechanismNear) {
+		score += remotePenalty
 	}
-	return score + c.assess.penalty
+	return score + c.assessment.penalty
 }
 
-// meanTime returns the mean time of a request over candidates, in seconds.
-func meanTime(list []candidate) float64 {
+// meanServiceTime returns the mean service time of a request over candidates, in seconds.
+func meanServiceTime(list []candidate) float64 {
 	sum, n := 0.0, 0
 	for i := range list {
-		if list[i].assess.answers >= 1 {
-			sum += list[i].assess.took
+		if list[i].assessment.answers >= 1 {
+			sum += list[i].assessment.answerTime
 			n++
 		}
 	}
 	if n == 0 {
-		return assumedTime
+		return defaultServiceTime
 	}
 	return sum / float64(n)
 }
 
-func (r *Router) draw() uint64 {
-	r.drawLock.Lock()
-	defer r.drawLock.Unlock()
-	return r.o.Rand.Uint64()
+func (r *Router) randomUint64() uint64 {
+	r.randLock.Lock()
+	defer r.randLock.Unlock()
+	return r.options.Rand.Uint64()
 }
--- a/core/token/choose_test.go
+++ b/core/token/choose_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-// openMany opens flows over a second and returns how many each target got.
+// openMany opens n flows, spread over a second, and returns how many each target got.
 func openMany(t testing.TB, r *Router, from time.Time, firstPort, n int) map[baobabstep.TargetID]int {
 	t.Helper()
 	got := map[baobabstep.TargetID]int{}
@@ -41,9 +41,10 @@
 	}
 }
 
-// A target joins a service whose others carry long flows. Chosen by open flows
-// alone it got each new flow of every VM at once, filled its queue, and callers
-// were told 503. It has to get its part and no more.
+// Guards against overloading a target that joins a service whose other targets have long
+// flows. When the choice depended on open flows alone, the new target got each new flow of
+// every VM at once, its queue filled up, and callers got 503.
+// The new target must get about its share.
 func TestNewTargetIsNotFlooded(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(10))
@@ -54,10 +55,10 @@
 	qt.Assert(t, got >= 5 && got <= 20, qt.IsTrue, qt.Commentf("got %d of 110", got))
 }
 
-// Thirty VMs share forty targets, so most of what a target gets comes from others.
-// Another one joins. No VM has told of it yet, so to each of them it looked idle:
-// it was sent every new flow for 0.3 s, refused most, and those callers that may
-// not try again failed.
+// Guards against overloading a new target in a large fleet. Thirty VMs share forty targets,
+// so most of the load of a target comes from other VMs. No VM has reported requests to the
+// new target yet, so it looked idle to all of them: it got every new flow for 0.3 s and
+// refused most, and callers that may not retry failed.
 func TestNewTargetOfALargeFleetIsNotFlooded(t *testing.T) {
 	const vms, flowsEach, targets = 30, 7, 41
 	others := map[baobabstep.TargetID]baobabstep.TargetLoad{}
@@ -68,7 +69,7 @@
 	got := 0
 	for vm := range vms {
 		r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(uint64(vm), 2))})
-		r.SetTable(start, table(1, rule1(fixtures, "fixtures")))
+		r.SetTable(start, table(1, singleRule(fixtures, "fixtures")))
 		r.SetRegistrations(start, manyTargets(targets-1))
 		r.SetOthers(start, others, nil)
 		r.ChangeRegistrations(joined, manyTargets(targets)[targets-1:], nil)
@@ -78,26 +79,27 @@
 	qt.Assert(t, got > all/targets && got < most, qt.IsTrue, qt.Commentf("got %d of %d, want less than %d", got, all, most))
 }
 
-// Targets of a service take 1.6 times as long while they are cold. Once that was
-// seen at some, the next one that is cold gets less before it has answered anything.
-func TestColdTargetGetsLess(t *testing.T) {
+// Guards against overloading cold targets. Cold targets of the service take 1.6 times as
+// long; once that was measured at some, the next cold target gets fewer flows before it has
+// answered anything.
+func TestSlowColdTargetGetsFewerFlows(t *testing.T) {
 	r := newRouter(t)
 	list := manyTargets(10)
 	list[5].ColdFor = time.Minute
 	r.SetRegistrations(start, list)
 	service := r.current.Load().services.get("fixtures")
-	for range 2 * calmAnswers {
-		service.add(start, answer.Answered, 30*time.Millisecond, false)
-		service.add(start, answer.Answered, 48*time.Millisecond, true)
+	for range 2 * minMeanAnswers {
+		service.addOutcome(start, answer.Answered, 30*time.Millisecond, false)
+		service.addOutcome(start, answer.Answered, 48*time.Millisecond, true)
 	}
-	service.look(start)
+	service.refresh(start)
 	openMany(t, r, start, 1, 400)
 	got := openMany(t, r, start.Add(time.Second), 1000, 400)
 	qt.Assert(t, got[6]*5 <= got[7]*4, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// Cold targets of a service answer as fast as the others: they get as much.
-func TestColdTargetThatIsNotSlowGetsAsMuch(t *testing.T) {
+// Cold targets that answer as fast as the others get as many flows.
+func TestFastColdTargetGetsEqualShare(t *testing.T) {
 	r := newRouter(t)
 	list := manyTargets(10)
 	list[5].ColdFor = time.Minute
@@ -109,31 +111,31 @@
 
 func TestOwnDataCentreIsPreferred(t *testing.T) {
 	r := newRouter(t)
-	t.Run("while it has room", func(t *testing.T) {
+	t.Run("while its targets are idle", func(t *testing.T) {
 		qt.Assert(t, openMany(t, r, start, 1, 5)[1], qt.Equals, 5)
 	})
-	t.Run("but not past all others", func(t *testing.T) {
+	t.Run("but not when its targets are busy", func(t *testing.T) {
 		qt.Assert(t, openMany(t, r, start, 100, 200)[2] > 50, qt.IsTrue)
 	})
 }
 
-// A partition cuts another data centre off. Nobody says what its targets are
-// sent, so they seem idle; before, flows spilled there and every one died.
-func TestDataCentreThatIsNotHeardGetsNoFlows(t *testing.T) {
+// Guards against flows to a data centre behind a partition. No VM reports the load of its
+// targets, so they seem idle; flows that spilled over there were all lost.
+func TestUnreachableDataCentreGetsNoFlows(t *testing.T) {
 	r := newRouter(t)
 	r.SetOthers(start, nil, nil)
 	qt.Assert(t, openMany(t, r, start, 1, 200)[2], qt.Equals, 0)
 
-	t.Run("unless the own one has no target", func(t *testing.T) {
+	t.Run("unless the VM's own data centre has no target", func(t *testing.T) {
 		r.SetRegistrations(start, threeTargets()[1:])
 		target, _ := open(t, r, start, flowFrom(900, fixtures))
 		qt.Assert(t, target, qt.Equals, baobabstep.TargetID(2))
 	})
 }
 
-// Targets of the own data centre are busier than those of another, by what other
-// VMs send them. Ten VMs that have sent nothing themselves place a flow each: they
-// have nothing else to go by.
+// Guards against ignoring the load from other VMs. Local targets are busier than those of
+// another data centre because of requests of other VMs. Ten VMs that have sent nothing
+// themselves place a flow each and depend on the reports alone.
 func TestLoadOfOtherVMsCounts(t *testing.T) {
 	for range 10 {
 		r := newRouter(t)
@@ -142,10 +144,10 @@
 	}
 }
 
-// What other VMs sent is known late. A VM that sends many requests to each target
-// itself goes by those: the target that seems idle to all gets its share from
-// each, not all from all, which would find it full.
-func TestVMThatSendsMuchGoesByItsOwn(t *testing.T) {
+// Guards against overloading a target that seems idle in the reports, which are late. A VM
+// that sends many requests to each target relies on its own counts, so the target gets its
+// share from each VM instead of every new flow of all VMs.
+func TestVMWithManyRequestsUsesOwnLoad(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(4))
 	openMany(t, r, start, 1, 200)
@@ -154,25 +156,24 @@
 	got := openMany(t, r, start.Add(time.Second), 1000, 40)
 	qt.Assert(t, got[1] <= 12, qt.IsTrue, qt.Commentf("%v", got))
 
-	t.Run("unless that is switched off", func(t *testing.T) {
+	t.Run("unless the mechanism is disabled", func(t *testing.T) {
 		r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2)), Without: Mechanisms(0).With(MechanismOwnLoads)})
-		r.SetTable(start, table(1, rule1(fixtures, "fixtures")))
+		r.SetTable(start, table(1, singleRule(fixtures, "fixtures")))
 		r.SetRegistrations(start, manyTargets(4))
 		openMany(t, r, start, 1, 200)
 		r.SetOthers(start, others, map[string]int{"a": 3})
-		qt.Assert(t, openMany(t, r, start.Add(time.Second), 1000, 40)[1], qt.Equals, 20) // each other try of the caller avoids it
+		qt.Assert(t, openMany(t, r, start.Add(time.Second), 1000, 40)[1], qt.Equals, 20) // every other flow avoids it as the caller's previous try
 	})
 }
 
-// A target has become slow. Its requests take five times as long as those of the
-// others, so it has to get fewer; once it is not measured any more it is tried
-// like the others.
-func TestSlowTargetGetsLess(t *testing.T) {
+// A target whose requests take five times as long as those of the others gets fewer flows.
+// Once its measurements have decayed, it is treated like the others again.
+func TestSlowTargetGetsFewerFlows(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(4))
 	targets := r.current.Load().targets
 	for id, took := range map[baobabstep.TargetID]time.Duration{1: 150 * time.Millisecond, 2: 30 * time.Millisecond, 3: 30 * time.Millisecond, 4: 30 * time.Millisecond} {
-		targets[id].load.count(start, answer.Answered, 1, took)
+		targets[id].load.addOutcome(start, answer.Answered, 1, took)
 	}
 	got := openMany(t, r, start, 1, 200)
 	qt.Assert(t, got[1]*2 < got[2], qt.IsTrue, qt.Commentf("%v", got))
@@ -181,9 +182,10 @@
 	qt.Assert(t, got[1] > 30, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// The time of a request ends with a segment that acknowledges its answer and
-// carries nothing: the next request may come long after the answer.
-func TestTimeOfRequests(t *testing.T) {
+// Guards against measuring the caller's idle time as service time. The time of a request
+// ends with a segment that acknowledges the answer and carries no payload: the next request
+// may be sent long after the answer.
+func TestRequestTimeMeasurement(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, results)
 	_, token := open(t, r, start, key)
@@ -201,8 +203,8 @@
 	qt.Assert(t, took(), qt.Equals, 30*time.Millisecond)
 }
 
-// A caller on an established flow sends one request in several segments, and
-// acknowledges what it gets between requests. Each request counts once.
+// Guards against counting a request more than once. On an established flow, a caller sends
+// one request in several segments, and acknowledges answers between requests.
 func TestRequestsOnAnEstablishedFlowCount(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, results)
@@ -215,23 +217,22 @@
 		handle(r, start, s)
 	}
 	for range 3 {
-		segment(100, 1200) // the request that the first packet counted for
+		segment(100, 1200) // the request counted for the first packet
 	}
 	segment(900, 0) // acknowledges its answer
 	for range 2 {
 		segment(900, 1200) // the second request
 	}
 	next -= 1200
-	segment(900, 1200) // repeats its last segment
+	segment(900, 1200) // repeats the last segment
 	own, _ := r.current.Load().targets[3].load.requests(start)
 	qt.Assert(t, own, qt.Equals, 2.0)
 }
 
-// A service has thousands of targets. A new flow looks at some of them only, and
-// still each target gets its part; where none of those that it looks at can take
-// it, it looks at all.
-func TestChoiceAmongThousands(t *testing.T) {
-	const targets = 8 * scanMost
+// Guards against uneven load among thousands of targets, of which a new flow examines only
+// some. If none of the examined ones accepts the flow, all are examined.
+func TestSelectionAmongThousandsOfTargets(t *testing.T) {
+	const targets = 8 * maxScannedTargets
 	r := newRouter(t)
 	list := manyTargets(targets)
 	r.SetRegistrations(start, list)
@@ -241,7 +242,7 @@
 	}
 	qt.Assert(t, most <= 4, qt.IsTrue, qt.Commentf("got %d flows of a mean of 2", most))
 
-	t.Run("also the only one that does not drain", func(t *testing.T) {
+	t.Run("only one target does not drain", func(t *testing.T) {
 		for i := range list {
 			list[i].Draining = i != 700
 		}
@@ -262,7 +263,7 @@
 			route := s.rules[fixtures]
 			h := hashFlow(flowFrom(1, fixtures))
 			for b.Loop() {
-				if t, _ := r.choose(start, s, route, h, nil); t == nil {
+				if t, _ := r.chooseTarget(start, s, route, h, nil); t == nil {
 					b.Fatal("no target")
 				}
 			}
--- a/core/token/cold.go
+++ b/core/token/cold.go
@@ -7,21 +7,21 @@
 	"baobabstep/core/quota"
 )
 
-// coldLimit is what a cold target of a service bears, from all VMs together.
+// coldLimit is the limit on new flows to a cold target of a service, from all VMs together.
 type coldLimit struct {
 	quota.Limit
-	// lasts is how long a target stays cold after its start.
-	lasts time.Duration
+	// duration is how long a target stays cold after its start.
+	duration time.Duration
 }
 
-// makeColdLimits returns the limits of a table by service. What is as before is the
-// same value, so that shares of it stay known.
+// makeColdLimits returns the limits of a table by service. An unchanged limit keeps its
+// pointer, so that cached shares of it stay valid.
 func makeColdLimits(o *Options, table *baobabstep.RoutingTable, before map[string]*coldLimit) map[string]*coldLimit {
 	limits := make(map[string]*coldLimit, len(table.ColdLimits))
 	for _, c := range table.ColdLimits {
 		l := &coldLimit{
-			Limit: quota.Limit{PerSecond: c.PerSecond, Bound: c.PerSecond*o.ColdOvershoot + o.ColdSlack},
-			lasts: c.Lasts,
+			Limit:    quota.Limit{PerSecond: c.PerSecond, Bound: c.PerSecond*o.ColdOvershoot + o.ColdSlack},
+			duration: c.Lasts,
 		}
 		if old := before[c.Service]; old != nil && *old == *l {
 			l = old
@@ -31,124 +31,127 @@
 	return limits
 }
 
-// coldness is what is known of a target beside its own word, and how many new flows
-// it got from this VM lately. The load of the target guards it.
-type coldness struct {
-	// presumedUntil is until when the target is taken to be cold though it does
-	// not say so, and closedUntil until when it gets no flow because of that.
-	presumedUntil, closedUntil time.Time
-	meter                      quota.Meter
-	// share is that of view and limit.
+// coldState is what this VM knows of a target's warm-up apart from its registration, and
+// the new flows that it recently sent to the target. The target's load guards it.
+type coldState struct {
+	// presumedUntil is until when the target is presumed cold although its registration
+	// does not say so, and blockedUntil until when it gets no flows for that reason.
+	presumedUntil, blockedUntil time.Time
+	meter                       quota.Meter
+	// share is the cached share for view and limit.
 	share quota.Share
 	view  *quota.View
 	limit *coldLimit
 }
 
-// shareOf returns this VM's share of the limit on a target.
-func (c *coldness) shareOf(id baobabstep.TargetID, view *quota.View, limit *coldLimit) quota.Share {
+// updateShare returns this VM's share of the limit on a target, recomputed if the view or
+// the limit changed.
+func (c *coldState) updateShare(id baobabstep.TargetID, view *quota.View, limit *coldLimit) quota.Share {
 	if c.view != view || c.limit != limit {
 		c.view, c.limit, c.share = view, limit, view.Of(uint64(id), limit.Limit)
 	}
 	return c.share
 }
 
-// restartSettle is how long a target that is back gets no further flow: the VMs
-// learn at different moments that it is, and each may have sent it one to find out.
-const restartSettle = time.Second
+// recoverySettleTime is how long a recovered target gets no further flows. The VMs learn of
+// the recovery at different moments, and each may have sent it a trial flow.
+const recoverySettleTime = time.Second
 
-// presumeCold takes a target to be cold that took no flows and is heard of again.
+// presumeCold marks a target as cold that accepted no flows and has just been heard from
+// again.
 //
-// It may have started anew, and its registration says so only seconds later. All
-// VMs would go for the target that seems idle: it got twice what it bears.
+// It may have restarted, which its registration shows only seconds later. Without this all
+// VMs would choose the target because it seems idle; it got twice its limit.
 func (r *Router) presumeCold(now time.Time, t *target) {
 	if limit := r.current.Load().coldLimits[t.registration.Service]; limit != nil {
-		t.load.presumeCold(now.Add(restartSettle), now.Add(limit.lasts))
+		t.load.presumeCold(now.Add(recoverySettleTime), now.Add(limit.duration))
 	}
 }
 
-func (l *load) presumeCold(closedUntil, until time.Time) {
+func (l *load) presumeCold(blockedUntil, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold.closedUntil, l.cold.presumedUntil = closedUntil, until
+	l.coldState.blockedUntil, l.coldState.presumedUntil = blockedUntil, until
 }
 
-// takesCold tells whether a target may get one more new flow from this VM, as far as
-// the limit on cold targets goes.
+// coldLimitAllows reports whether the limit on cold targets allows one more new flow from
+// this VM to a target.
 //
-// Only the VMs beside a target divide its limit: the fewer they are, the sooner
-// each knows the others. Those of other data centres send a cold target nothing.
-func (r *Router) takesCold(now time.Time, t *target, limit *coldLimit) bool {
+// Only the VMs of the target's data centre share its limit: with fewer VMs, each learns of
+// the others sooner. VMs of other data centres send a cold target no flows.
+func (r *Router) coldLimitAllows(now time.Time, t *target, limit *coldLimit) bool {
 	if !t.isCold(now) {
 		return true
 	}
 	view := r.view.Load()
-	if view == nil || t.registration.DataCentre != r.o.DataCentre {
+	if view == nil || t.registration.DataCentre != r.options.DataCentre {
 		return false
 	}
 	t.load.mu.Lock()
 	defer t.load.mu.Unlock()
-	c := &t.load.cold
-	return !now.Before(c.closedUntil) && c.meter.Allows(now, c.shareOf(t.id, view, limit))
+	c := &t.load.coldState
+	return !now.Before(c.blockedUntil) && c.meter.Allows(now, c.updateShare(t.id, view, limit))
 }
 
-// isCold tells whether the target is cold, by its own word or because it is taken to
-// be.
+// isCold reports whether the target is cold, by its registration or by presumption.
 func (t *target) isCold(now time.Time) bool {
 	if now.Before(t.coldUntil) {
 		return true
 	}
 	t.load.mu.Lock()
 	defer t.load.mu.Unlock()
-	return now.Before(t.load.cold.presumedUntil)
+	return now.Before(t.load.coldState.presumedUntil)
 }
 
 const (
-	// urgentSoon is how soon after an urgent flow another one is expected.
-	urgentSoon = 200 * time.Millisecond
-	// ordinaryFloor: of so many ordinary flows one does not wait for urgent ones.
-	ordinaryFloor = 8
+	// urgentExpectedWithin is how long after an urgent flow another one is expected.
+	urgentExpectedWithin = 200 * time.Millisecond
+	// ordinaryBypassInterval: one of this many ordinary flows does not yield to urgent
+	// flows.
+	ordinaryBypassInterval = 8
 )
 
-// leavesLast tells whether a flow leaves the only target that takes one more to
-// urgent flows, as ordinary ones do. Where all targets of a service are cold, each
-// takes its next flow at a moment, and ordinary flows, which come more often, would
-// take nearly all.
-func (r *Router) leavesLast(now time.Time, route *rule, list []candidate) bool {
+// yieldsToUrgent reports whether an ordinary flow leaves the only target that accepts one
+// more flow to urgent flows. Where all targets of a service are cold, each accepts its next
+// flow at a certain moment, and ordinary flows, which are more frequent, would take nearly
+// all of these.
+func (r *Router) yieldsToUrgent(now time.Time, route *rule, list []candidate) bool {
 	if !route.ordinary || len(list) != 1 || !list[0].target.isCold(now) {
 		return false
 	}
-	return list[0].target.service.expectsUrgent(now) && r.draw()%ordinaryFloor != 0
+	return list[0].target.service.expectsUrgent(now) && r.randomUint64()%ordinaryBypassInterval != 0
 }
 
-// noteFlow notes that a new flow of a rule came; ordinary ones say nothing.
-func (s *service) noteFlow(now time.Time, route *rule) {
+// noteUrgentFlow records the time of a new flow of a rule if the rule is not ordinary.
+func (s *serviceStats) noteUrgentFlow(now time.Time, route *rule) {
 	if route.ordinary {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.urgentAt = now
+	s.lastUrgentAt = now
 }
 
-func (s *service) expectsUrgent(now time.Time) bool {
+func (s *serviceStats) expectsUrgent(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.urgentAt) < urgentSoon
+	return now.Sub(s.lastUrgentAt) < urgentExpectedWithin
 }
 
-// useCold notes a first segment that goes to a target.
-func (r *Router) useCold(now time.Time, s *snapshot, t *target) {
+// consumeColdShare counts a first segment sent to a target against this VM's share of the
+// cold limit.
+func (r *Router) consumeColdShare(now time.Time, s *snapshot, t *target) {
 	limit := s.coldLimits[t.registration.Service]
 	if limit == nil {
 		return
 	}
 	t.load.mu.Lock()
 	defer t.load.mu.Unlock()
-	t.load.cold.meter.Use(now, t.load.cold.share)
+	t.load.coldState.meter.Use(now, t.load.coldState.share)
 }
 
-// SetView tells which VMs of the data centre divide what its cold targets bear.
+// SetView sets the VMs of the data centre that share the limits on its cold targets.
 func (r *Router) SetView(view *quota.View) { r.view.Store(view) }
 
-// LimitsCold tells whether any service limits what its cold targets get.
+// LimitsCold reports whether any service limits new flows to its cold targets.
 func (r *Router) LimitsCold() bool { return len(r.current.Load().coldLimits) > 0 }
--- a/core/token/cold_test.go
+++ b/core/token/cold_test.go
@@ -11,10 +11,10 @@
 	"baobabstep/core/quota"
 )
 
-// coldTable leads to fixtures, whose cold targets bear two new flows a second for
-// four seconds.
+// coldTable routes to fixtures, whose cold targets are limited to two new flows a second
+// for four seconds.
 func coldTable(version uint64) *baobabstep.RoutingTable {
-	t := table(version, rule1(fixtures, "fixtures"))
+	t := table(version, singleRule(fixtures, "fixtures"))
 	t.ColdLimits = []baobabstep.ColdLimit{{Service: "fixtures", PerSecond: 2, Lasts: 4 * time.Second}}
 	return t
 }
@@ -25,8 +25,7 @@
 	return r
 }
 
-// newColdRouter returns the router of a VM that is alone in data centre a, before
-// targets of which some are cold.
+// newColdRouter returns the router of the only VM of data centre a, with the given targets.
 func newColdRouter(targets ...baobabstep.Registration) *Router {
 	r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2)), ColdOvershoot: 1.5, ColdSlack: 5})
 	r.SetTable(start, coldTable(1))
@@ -36,9 +35,10 @@
 	return r
 }
 
-// coldPlay sends a new flow every 10 ms and returns how many went to target 1, and
-// the most in any second. A flow that is refused must be refused at once.
-func coldPlay(t testing.TB, r *Router, from time.Time, d time.Duration) (placed, worst, refused int) {
+// openSteadily opens a flow every 10 ms. It returns how many went to target 1, the most of
+// these in any second, and how many flows were refused. A refused flow must be reset at
+// once.
+func openSteadily(t testing.TB, r *Router, from time.Time, d time.Duration) (placed, worst, refused int) {
 	t.Helper()
 	var at []time.Time
 	port := uint16(from.Sub(start) / (10 * time.Millisecond))
@@ -63,21 +63,21 @@
 	return placed, worst, refused
 }
 
-func TestColdTargetGetsWhatItBears(t *testing.T) {
+func TestColdLimitIsKept(t *testing.T) {
 	r := newColdRouter(cold(1, "a", 2*time.Second), registration(2, "fixtures", "a"))
-	placed, worst, refused := coldPlay(t, r, start, 2*time.Second)
+	placed, worst, refused := openSteadily(t, r, start, 2*time.Second)
 	qt.Assert(t, refused, qt.Equals, 0)
 	qt.Assert(t, worst <= 2, qt.IsTrue, qt.Commentf("got %d", worst))
 	qt.Assert(t, placed >= 2, qt.IsTrue, qt.Commentf("got %d", placed))
-	t.Run("and what the others get once it is warm", func(t *testing.T) {
-		placed, _, _ := coldPlay(t, r, start.Add(2*time.Second), time.Second)
+	t.Run("no limit once it is warm", func(t *testing.T) {
+		placed, _, _ := openSteadily(t, r, start.Add(2*time.Second), time.Second)
 		qt.Assert(t, placed > 20, qt.IsTrue, qt.Commentf("got %d", placed))
 	})
 }
 
-// Each of these makes a target cold, or leaves it so, in a way that its registration
-// alone does not say, or says late. Callers must not be sent there in a flood.
-func TestColdTargetsStayKnown(t *testing.T) {
+// Guards against overloading targets that are cold for a reason that the registration does
+// not show, or shows late.
+func TestColdTargetsAreRecognised(t *testing.T) {
 	later := start.Add(time.Second)
 	for _, test := range []struct {
 		name   string
@@ -85,7 +85,7 @@
 		change func(r *Router)
 	}{
 		{"a VM of another data centre has no share", []baobabstep.Registration{cold(1, "b", 9*time.Second)}, func(*Router) {}},
-		{"nor one that may not know the others", []baobabstep.Registration{cold(1, "a", 9*time.Second)}, func(r *Router) {
+		{"a VM whose view is not settled has no share", []baobabstep.Registration{cold(1, "a", 9*time.Second)}, func(r *Router) {
 			r.SetView(&quota.View{Self: 1})
 		}},
 		{"it becomes cold in the same run", []baobabstep.Registration{registration(1, "fixtures", "a")}, func(r *Router) {
@@ -97,22 +97,22 @@
 			r.SetEvacuations(later, nil)
 			r.SetView(&quota.View{Self: 1})
 		}},
-		{"it took no flows and is heard of again", []baobabstep.Registration{registration(1, "fixtures", "a")}, func(r *Router) {
+		{"it accepted no flows and is heard from again", []baobabstep.Registration{registration(1, "fixtures", "a")}, func(r *Router) {
 			target := r.current.Load().targets[1]
 			target.load.mu.Lock()
 			target.load.health.avoidedAt, target.load.health.avoidUntil = start, later
 			target.load.mu.Unlock()
-			r.answered(later, target)
+			r.noteAnswer(later, target)
 		}},
-		{"another VM hears of it again", []baobabstep.Registration{registration(1, "fixtures", "a")}, func(r *Router) {
+		{"another VM hears from it again", []baobabstep.Registration{registration(1, "fixtures", "a")}, func(r *Router) {
 			target := r.current.Load().targets[1]
 			target.load.mu.Lock()
 			target.load.health.avoidedAt, target.load.health.avoidUntil = start, later
 			target.load.mu.Unlock()
 			r.SetSilence(later, map[baobabstep.TargetID]baobabstep.TargetLoad{1: {HeardAt: later.Add(-time.Millisecond)}})
 		}},
-		{"another table says the same limit", []baobabstep.Registration{cold(1, "a", 9*time.Second)}, func(r *Router) {
-			coldPlay(t, r, later.Add(-time.Second), time.Second)
+		{"another table has the same limit", []baobabstep.Registration{cold(1, "a", 9*time.Second)}, func(r *Router) {
+			openSteadily(t, r, later.Add(-time.Second), time.Second)
 			r.SetTable(later, coldTable(2))
 			r.SetView(&quota.View{Self: 1})
 		}},
@@ -120,24 +120,24 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := newColdRouter(test.before...)
 			test.change(r)
-			placed, _, refused := coldPlay(t, r, later, 900*time.Millisecond)
+			placed, _, refused := openSteadily(t, r, later, 900*time.Millisecond)
 			qt.Assert(t, placed, qt.Equals, 0)
 			qt.Assert(t, refused, qt.Equals, 90)
 		})
 	}
-	t.Run("a registration that comes again does not make it cold for longer", func(t *testing.T) {
+	t.Run("a repeated registration does not extend the cold period", func(t *testing.T) {
 		list := []baobabstep.Registration{cold(1, "a", time.Second)}
 		r := newColdRouter(list...)
 		r.SetRegistrations(later, append(list, registration(2, "results", "a")))
-		placed, _, _ := coldPlay(t, r, later, time.Second)
+		placed, _, _ := openSteadily(t, r, later, time.Second)
 		qt.Assert(t, placed, qt.Equals, 100)
 	})
 }
 
-// A service has one target, which is warm. Urgent flows come as well: the ordinary
-// ones need not leave it to them, since it takes any number.
-func TestOnlyTargetIsWarm(t *testing.T) {
-	urgent, ordinary := rule1(results, "fixtures"), rule1(fixtures, "fixtures")
+// Guards against refusing ordinary flows in favour of urgent ones where the only target is
+// warm and accepts any number of flows.
+func TestOrdinaryFlowsDoNotYieldAtWarmTarget(t *testing.T) {
+	urgent, ordinary := singleRule(results, "fixtures"), singleRule(fixtures, "fixtures")
 	ordinary.Repeatable, ordinary.Priority = true, 2
 	table := table(1, urgent, ordinary)
 	table.ColdLimits = coldTable(1).ColdLimits
@@ -150,12 +150,13 @@
 	}
 }
 
-// All targets of a service are cold, and more is asked than they bear. What fits is
-// served, the rest is refused at once, and urgent flows are served first: of the two
-// flows a second, ordinary ones that come ten times as often must not take all.
-func TestAllTargetsAreCold(t *testing.T) {
-	urgent := rule1(results, "fixtures")
-	ordinary := rule1(fixtures, "fixtures")
+// Guards against ordinary flows that use up the limits of cold targets. All targets of the
+// service are cold, and the demand exceeds their limits. As many flows as the limits allow
+// are served, the rest are refused at once. Urgent flows come first, although ordinary ones
+// are nine times as frequent.
+func TestUrgentFlowsFirstIfAllTargetsAreCold(t *testing.T) {
+	urgent := singleRule(results, "fixtures")
+	ordinary := singleRule(fixtures, "fixtures")
 	ordinary.Repeatable, ordinary.Priority = true, 2
 	table := table(1, urgent, ordinary)
 	table.ColdLimits = []baobabstep.ColdLimit{{Service: "fixtures", PerSecond: 6, Lasts: time.Minute}}
--- a/core/token/evacuation_test.go
+++ b/core/token/evacuation_test.go
@@ -9,7 +9,8 @@
 	"baobabstep"
 )
 
-// assertPlaced checks that new flows from port on go to targets of one data centre.
+// assertPlaced checks that 40 new flows, from the given port on, go to exactly the given
+// targets.
 func assertPlaced(t testing.TB, r *Router, now time.Time, port uint16, want ...baobabstep.TargetID) {
 	t.Helper()
 	seen := make(map[baobabstep.TargetID]bool)
@@ -24,9 +25,9 @@
 	qt.Assert(t, seen, qt.DeepEquals, wanted)
 }
 
-// Operators empty a data centre. Callers that open a flow are served by the others;
-// callers with an open flow keep it, since the platform counts a reset that no
-// target sent as a broken flow, and the target still answers.
+// A data centre is evacuated. New flows go to other data centres; open flows stay, since
+// the platform counts a reset that no target sent as a broken flow, and the target still
+// answers.
 func TestEvacuatedDataCentreGetsNoNewFlow(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, fixtures)
@@ -36,13 +37,13 @@
 	assertPlaced(t, r, start, 100, 2)
 	assertPassed(t, r, start, data(key, token), 1)
 
-	t.Run("nor does a target that appears there", func(t *testing.T) {
+	t.Run("nor does a new target there", func(t *testing.T) {
 		r.ChangeRegistrations(start, []baobabstep.Registration{registration(4, "fixtures", "a")}, nil)
 		assertPlaced(t, r, start, 200, 2)
 		r.SetRegistrations(start, append(threeTargets(), registration(5, "fixtures", "a")))
 		assertPlaced(t, r, start, 300, 2)
 	})
-	t.Run("nor the copy of a first segment that went there", func(t *testing.T) {
+	t.Run("copy of a first segment moves to another data centre", func(t *testing.T) {
 		r := newRouter(t)
 		key := flowFrom(1, fixtures)
 		open(t, r, start, key)
@@ -50,23 +51,23 @@
 		target, _ := open(t, r, start.Add(200*time.Millisecond), key)
 		qt.Assert(t, target, qt.Equals, baobabstep.TargetID(2))
 	})
-	t.Run("until it is taken back", func(t *testing.T) {
+	t.Run("until the evacuation ends", func(t *testing.T) {
 		r.SetEvacuations(start, nil)
 		r.SetOthers(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, map[string]int{"b": 1})
 		assertPlaced(t, r, start, 400, 1, 5)
 	})
 }
 
-// Operators empty every data centre that holds a service. Nothing may go there any
-// more, so callers are refused at once, which is true: nothing ran.
-func TestAllIsEvacuated(t *testing.T) {
+// Every data centre that holds a service is evacuated. New flows are refused at once, so
+// that callers know that nothing ran.
+func TestAllDataCentresEvacuated(t *testing.T) {
 	r := newRouter(t)
 	r.SetEvacuations(start, []string{"a", "b"})
 	key := flowFrom(1, fixtures)
 	assertReset(t, r, start, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq})
-	t.Run("the log says why", func(t *testing.T) {
+	t.Run("the event counts evacuated targets", func(t *testing.T) {
 		s := r.current.Load()
-		e := r.about(start, EventRefused, s, s.rules[fixtures], nil, nil)
+		e := r.newEvent(start, EventRefused, s, s.rules[fixtures], nil, nil)
 		qt.Assert(t, e.Evacuated, qt.Equals, 2)
 		qt.Assert(t, e.Known, qt.Equals, 2)
 	})
--- a/core/token/event.go
+++ b/core/token/event.go
@@ -8,75 +8,77 @@
 	"baobabstep/core/answer"
 )
 
-// EventKind says what was decided.
+// EventKind is the kind of a decision.
 type EventKind uint8
 
-// Kinds of events. The comment of each is its name in logs and metrics.
+// Kinds of events. The line comment of each is its name in logs and metrics.
 const (
 	// EventPlaced: a new flow was sent to a target chosen for it.
 	EventPlaced EventKind = iota // flow_placed
-	// EventRepeated: the copy of a first segment followed the first one.
+	// EventRepeated: a copy of a first segment was sent to the same target.
 	EventRepeated // flow_repeated
-	// EventMoved: the copy of a first segment went to another target.
+	// EventMoved: a copy of a first segment was sent to another target.
 	EventMoved // flow_moved
 	// EventRefused: there was no target for a new flow; the caller was reset.
 	EventRefused // flow_refused
-	// EventNoRoom: the targets are so busy that an ordinary new flow would be
-	// answered too late; the caller was reset.
+	// EventNoRoom: the targets are so busy that an ordinary new flow would be answered too
+	// late; the caller was reset.
 	EventNoRoom // flow_no_room
 	// EventUnrouted: the address has no route; the caller was reset.
 	EventUnrouted // flow_unrouted
-	// EventEnded: the flow's target is out of reach; the caller was reset.
+	// EventEnded: the flow's target is unreachable; the caller was reset.
 	EventEnded // flow_ended
-	// EventUnknown: no target gives the flow's token; the segment was dropped.
+	// EventUnknown: no target matches the flow's token; the segment was dropped.
 	EventUnknown // token_unknown
-	// EventUnready: routes or targets are not known yet; dropped.
+	// EventUnready: routes or targets are not known yet; the segment was dropped.
 	EventUnready // segment_unready
 	// EventSilent: a target left a flow unanswered.
 	EventSilent // target_silent
-	// EventHeard: a target that was silent is heard of again.
+	// EventHeard: a silent target was heard from again.
 	EventHeard // target_heard
-	// EventAvoided: a target takes no flows and gets none for a while, by what
-	// this VM found or others say.
+	// EventAvoided: a target accepts no flows and gets none for a while, by the evidence of
+	// this VM or of others.
 	EventAvoided // target_avoided
-	// EventFailing: a target fails more than the others of its service.
+	// EventFailing: a target fails more requests than the others of its service.
 	EventFailing // target_failing
-	// EventTried: a target that failed gets a few flows again.
+	// EventTried: a target that failed gets a few flows again, on trial.
 	EventTried // target_on_trial
 	// EventTrusted: a target that failed has passed its trial.
 	EventTrusted // target_trusted
 	numEvents
 )
 
-// Event is one decision, with what decided it.
+// Event is one decision and its inputs.
 type Event struct {
 	Kind EventKind
-	// Flow and Seq name the flow: its two ends, and the number of the segment.
+	// Flow and Seq identify the flow by its two addresses, and the segment by its sequence
+	// number.
 	Flow baobabstep.FlowKey
 	Seq  uint32
-	// Rule and Service are those of the flow, Version that of the routing
-	// table in force.
+	// Rule and Service are those of the flow; Version is that of the routing table in
+	// force.
 	Rule, Service string
 	Version       uint64
-	// Took is how long answers of the target take, Aim how long they may, where
-	// there was no room.
+	// Took is the target's mean answer time and Aim the limit on it, for a flow refused
+	// under overload.
 	Took, Aim time.Duration
-	// Known, Draining, Gone and Evacuated count the targets of the service, where
-	// none could take a new flow.
+	// Known, Draining, Gone and Evacuated count the targets of the service, where none
+	// could take a new flow.
 	Known, Draining, Gone, Evacuated int
-	// Target is 0 if there is none, DataCentre is the target's.
+	// Target is 0 if there is none; DataCentre is the target's.
 	Target     baobabstep.TargetID
 	DataCentre string
-	// Requests are the recent requests at the target, of all VMs.
+	// Requests are the recent requests of all VMs at the target.
 	Requests float64
-	// Unanswered and Opens are what stood against the target here, Others what
-	// other VMs of the data centre said.
+	// Unanswered and Opens are the counts of unanswered flows and first segments at the
+	// target seen by this VM, Others the unanswered flows reported by other VMs of the data
+	// centre.
 	Unanswered, Opens, Others int
-	// Heard is how long ago the target was heard of; negative if never.
+	// Heard is the time since the target was last heard from, negative if it never was.
 	Heard time.Duration
-	// Answers and Failed are the recent answers of the target by all VMs, and
-	// Peers the usual share of failures in its service, where the event is
-	// about them; Callers is the number of callers that failed, at least.
+	// Answers and Failed are the recent answers of the target to all VMs, and Peers the
+	// usual share of failures in its service, for changes of a verdict; Callers is a lower
+	// bound on the number of callers whose requests failed.
 	Answers, Failed, Peers float64
 	Callers                int
 }
@@ -86,11 +88,11 @@
 	return fmt.Sprintf("%v/%v", e.Flow.Caller, e.Flow.Service)
 }
 
-// Recorder takes in events. It is called with a lock held and must not block.
+// Recorder receives events. It is called with a lock held and must not block.
 type Recorder func(now time.Time, e *Event)
 
-// about returns an event about a flow and a target, with what is known of both.
-func (r *Router) about(now time.Time, kind EventKind, s *snapshot, route *rule, t *target, p *baobabstep.Segment) *Event {
+// newEvent returns an event with what is known of the flow and the target.
+func (r *Router) newEvent(now time.Time, kind EventKind, s *snapshot, route *rule, t *target, p *baobabstep.Segment) *Event {
 	e := &Event{Kind: kind, Version: s.version}
 	if p != nil {
 		e.Flow, e.Seq = p.Flow, p.Seq
@@ -102,7 +104,7 @@
 		e.countTargets(now, s, route)
 	}
 	if kind == EventNoRoom {
-		e.Took, e.Aim = t.load.time(now), route.aim
+		e.Took, e.Aim = t.load.answerTime(now), route.aim
 	}
 	if t != nil {
 		e.Target, e.Service, e.DataCentre = t.id, t.registration.Service, t.registration.DataCentre
@@ -112,7 +114,8 @@
 	return e
 }
 
-// countTargets says why a rule had no target for a new flow.
+// countTargets counts the targets of a rule's services by the reason why they get no new
+// flows.
 func (e *Event) countTargets(now time.Time, s *snapshot, route *rule) {
 	for _, share := range route.shares {
 		e.Service = share.Service
@@ -124,7 +127,7 @@
 			switch {
 			case !t.missingSince.IsZero():
 				e.Gone++
-			case t.leaves(now):
+			case t.isDraining(now):
 				e.Draining++
 			case t.evacuated:
 				e.Evacuated++
@@ -134,8 +137,8 @@
 	}
 }
 
-// recordVerdict records that something else is thought of a target now.
-func (r *Router) recordVerdict(now time.Time, s *snapshot, t *target, state answer.State, with answer.Evidence) {
+// recordVerdict records a change of the verdict on a target, with its evidence.
+func (r *Router) recordVerdict(now time.Time, s *snapshot, t *target, state answer.State, evidence answer.Evidence) {
 	kind := EventTrusted
 	switch state {
 	case answer.Failing:
@@ -144,19 +147,19 @@
 		kind = EventTried
 	}
 	r.counts.events[kind].Add(1)
-	if r.o.Record == nil || !r.o.Wanted(now, kind) {
+	if r.options.Record == nil || !r.options.Wanted(now, kind) {
 		return
 	}
-	e := r.about(now, kind, s, nil, t, nil)
-	e.Answers, e.Failed = with.Target.Answers, with.Target.Failed
-	e.Peers, e.Callers = with.Peers, with.Callers.Count()
-	r.o.Record(now, e)
+	e := r.newEvent(now, kind, s, nil, t, nil)
+	e.Answers, e.Failed = evidence.Target.Answers, evidence.Target.Failed
+	e.Peers, e.Callers = evidence.Peers, evidence.Callers.Count()
+	r.options.Record(now, e)
 }
 
-// record counts an event and hands it to the recorder.
+// record counts an event and passes it to the recorder if it is wanted.
 func (r *Router) record(now time.Time, kind EventKind, s *snapshot, route *rule, t *target, p *baobabstep.Segment) {
 	r.counts.events[kind].Add(1)
-	if r.o.Record != nil && r.o.Wanted(now, kind) {
-		r.o.Record(now, r.about(now, kind, s, route, t, p))
+	if r.options.Record != nil && r.options.Wanted(now, kind) {
+		r.options.Record(now, r.newEvent(now, kind, s, route, t, p))
 	}
 }
--- a/core/token/machine_test.go
+++ b/core/token/fleet_model_test.go
@@ -11,53 +11,53 @@
 	"baobabstep"
 )
 
-// machine is a fleet of routers with callers and targets around it, in virtual
-// time. Callers keep to the protocol: a copy after 200 ms of silence, a request
-// repeated after 200 ms, a new port for each try.
-type machine struct {
+// fleetModel simulates a fleet of routers with callers and targets in virtual time. Callers
+// follow the protocol: they send a copy after 200 ms without a reply, repeat a request
+// after 200 ms, and use a new port for each try.
+type fleetModel struct {
 	t       *rapid.T
 	now     time.Time
 	routers []*Router
 	random  *rand.Rand
 	version uint64
-	// routed are the services that each address was ever routed to, routes the
-	// present ones.
+	// routed are the services that each address was ever routed to, routes the present
+	// ones.
 	routed map[string][]string
 	routes map[string]string
-	// targets are all that there ever were.
-	targets map[baobabstep.TargetID]*machineTarget
+	// targets are all targets that ever existed.
+	targets map[baobabstep.TargetID]*modelTarget
 	nextID  baobabstep.TargetID
-	flows   []*machineFlow
+	flows   []*modelFlow
 	port    uint16
 }
 
-type machineTarget struct {
+type modelTarget struct {
 	registration baobabstep.Registration
 	registered   bool
-	// dark is set while it says nothing; disturbed is when that last changed.
-	dark      bool
+	// silent is set while the target answers nothing; disturbed is when that last changed.
+	silent    bool
 	disturbed time.Time
 }
 
-type machineFlow struct {
+type modelFlow struct {
 	key     baobabstep.FlowKey
-	target  *machineTarget
+	target  *modelTarget
 	token   uint32
 	seq     uint32
 	acked   uint32
 	address string
 }
 
-// machineAddresses are the service addresses, by name.
-var machineAddresses = map[string]baobabstep.FlowKey{
+// modelAddresses are the service addresses by name.
+var modelAddresses = map[string]baobabstep.FlowKey{
 	"a": flowFrom(0, fixtures), "b": flowFrom(0, results),
 }
 
-func newMachine(t *rapid.T) *machine {
-	m := &machine{
+func newFleetModel(t *rapid.T) *fleetModel {
+	m := &fleetModel{
 		t: t, now: start, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 		routed: map[string][]string{}, routes: map[string]string{"a": "fixtures", "b": "results"},
-		targets: map[baobabstep.TargetID]*machineTarget{},
+		targets: map[baobabstep.TargetID]*modelTarget{},
 	}
 	for range 6 {
 		m.join()
@@ -70,27 +70,27 @@
 	return m
 }
 
-func (m *machine) newRouter() *Router {
+func (m *fleetModel) newRouter() *Router {
 	return New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(m.random.Uint64(), 2))})
 }
 
-func (m *machine) join() {
+func (m *fleetModel) join() {
 	m.nextID++
 	service := []string{"fixtures", "results"}[int(m.nextID)%2]
-	m.targets[m.nextID] = &machineTarget{registration: registration(m.nextID, service, "a"), registered: true, disturbed: m.now}
+	m.targets[m.nextID] = &modelTarget{registration: registration(m.nextID, service, "a"), registered: true, disturbed: m.now}
 }
 
-func (m *machine) table() *baobabstep.RoutingTable {
+func (m *fleetModel) table() *baobabstep.RoutingTable {
 	table := &baobabstep.RoutingTable{Version: m.version}
 	for _, name := range []string{"a", "b"} {
 		if service, ok := m.routes[name]; ok {
-			table.Rules = append(table.Rules, rule1(machineAddresses[name].Service, service))
+			table.Rules = append(table.Rules, singleRule(modelAddresses[name].Service, service))
 		}
 	}
 	return table
 }
 
-func (m *machine) putRoutes() {
+func (m *fleetModel) putRoutes() {
 	m.version++
 	for name, service := range m.routes {
 		if !slices.Contains(m.routed[name], service) {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (m *machine) register() {
+func (m *fleetModel) register() {
 	var list []baobabstep.Registration
 	for _, t := range m.targets {
 		if t.registered {
@@ -114,8 +114,8 @@
 	}
 }
 
-// send hands a segment to any VM and returns what it sends.
-func (m *machine) send(f *machineFlow, s baobabstep.Segment) *baobabstep.Forward {
+// send passes a segment to a random VM and returns what that VM sends.
+func (m *fleetModel) send(f *modelFlow, s baobabstep.Segment) *baobabstep.Forward {
 	s.Flow = f.key
 	var out []baobabstep.Forward
 	m.routers[m.random.IntN(len(m.routers))].Handle(m.now, &s, &out)
@@ -135,10 +135,10 @@
 }
 
 // open opens a flow as a caller does.
-func (m *machine) open() {
+func (m *fleetModel) open() {
 	m.port++
 	name := []string{"a", "b"}[m.random.IntN(2)]
-	f := &machineFlow{key: flowFrom(m.port, machineAddresses[name].Service), seq: m.random.Uint32(), address: name}
+	f := &modelFlow{key: flowFrom(m.port, modelAddresses[name].Service), seq: m.random.Uint32(), address: name}
 	for copies := range uint32(3) {
 		out := m.send(f, baobabstep.Segment{Kind: baobabstep.KindOpen, Seq: f.seq, Acked: copies})
 		if out == nil || out.Target == 0 {
@@ -148,7 +148,7 @@
 		if copies == 0 && t.registration.Draining && t.registered {
 			m.t.Fatalf("a new flow went to target %d, which drains", out.Target)
 		}
-		if !t.dark {
+		if !t.silent {
 			f.target, f.token, f.acked = t, out.Token, 1
 			f.seq++
 			m.flows = append(m.flows, f)
@@ -159,9 +159,9 @@
 	}
 }
 
-// request sends a request on an established flow, and once more if there is no
+// request sends a request on an established flow, and repeats it once if there is no
 // answer.
-func (m *machine) request(f *machineFlow) {
+func (m *fleetModel) request(f *modelFlow) {
 	for range 2 {
 		out := m.send(f, baobabstep.Segment{Kind: baobabstep.KindData, Token: f.token, Seq: f.seq, Acked: f.acked, Size: 100})
 		switch {
@@ -172,7 +172,7 @@
 			return
 		case m.targets[out.Target] != f.target:
 			m.t.Fatalf("a segment of a flow at target %d went to %d", f.target.registration.ID, out.Target)
-		case !f.target.dark:
+		case !f.target.silent:
 			f.seq += 100
 			f.acked += 600
 			m.send(f, baobabstep.Segment{Kind: baobabstep.KindData, Token: f.token, Seq: f.seq, Acked: f.acked})
@@ -182,22 +182,21 @@
 	}
 }
 
-func (m *machine) forget(f *machineFlow) {
-	m.flows = slices.DeleteFunc(m.flows, func(x *machineFlow) bool { return x == f })
+func (m *fleetModel) forget(f *modelFlow) {
+	m.flows = slices.DeleteFunc(m.flows, func(x *modelFlow) bool { return x == f })
 }
 
-// checkReset checks that an established flow was reset for one of the reasons
-// there may be.
-func (m *machine) checkReset(f *machineFlow) {
+// checkReset checks that there was a valid reason to reset an established flow.
+func (m *fleetModel) checkReset(f *modelFlow) {
 	_, routed := m.routes[f.address]
-	if !routed || f.target.dark || m.now.Sub(f.target.disturbed) < 4*time.Second {
+	if !routed || f.target.silent || m.now.Sub(f.target.disturbed) < 4*time.Second {
 		return
 	}
 	m.t.Fatalf("a flow at target %d was reset, to which nothing happened for %v", f.target.registration.ID, m.now.Sub(f.target.disturbed))
 }
 
-// checkEnded checks flows that a VM reset by itself.
-func (m *machine) checkEnded(ended []baobabstep.Forward) {
+// checkEnded checks the flows that a VM reset without a packet from the caller.
+func (m *fleetModel) checkEnded(ended []baobabstep.Forward) {
 	for _, reset := range ended {
 		for _, f := range slices.Clone(m.flows) {
 			if f.key == reset.Flow {
@@ -208,12 +207,12 @@
 	}
 }
 
-func (m *machine) anyTarget() *machineTarget {
+func (m *fleetModel) anyTarget() *modelTarget {
 	return m.targets[baobabstep.TargetID(1+m.random.IntN(int(m.nextID)))]
 }
 
-// pass lets time pass in which every flow sends something.
-func (m *machine) pass() {
+// pass advances time while callers open flows and send requests on the latest ones.
+func (m *fleetModel) pass() {
 	for range 5 {
 		m.now = m.now.Add(100 * time.Millisecond)
 		for range 4 {
@@ -231,12 +230,13 @@
 	}
 }
 
-// TestRandomTroubles plays planned work and failures in any order and checks that
-// a flow has one target for all VMs, that no segment crosses services, that no
-// flow is reset without a reason, and that versions only grow.
-func TestRandomTroubles(t *testing.T) {
+// TestRandomOperationsAndFailures applies operations and failures in random order. It
+// checks that all VMs agree on the target of a flow, that no segment reaches a target of
+// another service, that no flow is reset without a reason, and that versions never
+// decrease.
+func TestRandomOperationsAndFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(t)
+		m := newFleetModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"pass time":      func(*rapid.T) { m.pass() },
 			"a target joins": func(*rapid.T) { m.join(); m.register() },
@@ -251,7 +251,7 @@
 			},
 			"a target goes dark, or is back": func(*rapid.T) {
 				x := m.anyTarget()
-				x.dark, x.disturbed = !x.dark, m.now
+				x.silent, x.disturbed = !x.silent, m.now
 			},
 			"an address moves to the other service": func(*rapid.T) {
 				m.routes["a"], m.routes["b"] = "results", m.routes["a"]
--- a/core/token/flow.go
+++ b/core/token/flow.go
@@ -9,53 +9,53 @@
 	"baobabstep"
 )
 
-// flow is what this VM remembers of a flow that it saw packets of.
+// flow is this VM's record of a flow of which it has seen packets.
 type flow struct {
 	target *target
-	// opening is set until a packet after the first one came.
+	// opening is set until a packet after the first one arrives.
 	opening bool
-	// repeated is set once a copy of the first segment came.
-	repeated bool
-	// closed is set once the caller closed or reset the flow. The record stays
-	// for a while, so that late packets do not count as a flow.
+	// copySeen is set once a copy of the first segment arrived.
+	copySeen bool
+	// closed is set once the caller closed or reset the flow. The record is kept for
+	// closedRetention, so that late packets do not count as another flow.
 	closed bool
-	// heard is when the last packet came.
-	heard time.Time
-	// sent is when the first segment, or the last request since, went to the
+	// lastPacketAt is when the last packet arrived.
+	lastPacketAt time.Time
+	// requestSentAt is when the first segment, or the latest request after it, went to the
 	// target.
-	sent time.Time
-	// timed is set while the time of the last request is still to be taken: at
-	// the next segment that acknowledges more and carries nothing. One that
-	// carries the next request may come long after the answer.
-	timed bool
-	// unanswered is set once the flow was counted against its target; it
-	// counts once until the target is heard of on it.
-	unanswered bool
-	// seq is the number of the first packet: a caller that uses its port again
-	// starts with another.
+	requestSentAt time.Time
+	// timingPending is set until the time of the latest request is measured, at the next
+	// segment that acknowledges more and carries no payload. A segment that carries the
+	// next request may be sent long after the answer.
+	timingPending bool
+	// countedUnanswered is set once the flow was counted against its target, so that it
+	// counts once until the target is heard from on it.
+	countedUnanswered bool
+	// seq is the sequence number of the first packet: a caller that reuses its port starts
+	// with another one.
 	seq uint32
 	key baobabstep.FlowKey
-	// rule is that of the flow's address when its record was made.
+	// rule is the rule of the flow's address when the record was made.
 	rule *rule
-	// asked is set while the outcome of a request is to be seen. took is how
-	// long its answer took to begin, 0 while it has not, and progressAt when
-	// the last part of it was acknowledged.
-	asked bool
-	// waits is set while nothing of the answer to the last request has come, even
-	// if its outcome was counted.
-	waits      bool
-	took       time.Duration
-	progressAt time.Time
-	// acked is how far the caller has received its target's answers, and
-	// requestAcked how far it had when it sent its last request: a caller that
-	// sends bytes after it has received more starts a request, while the
-	// further segments of a long one acknowledge nothing new.
+	// outcomePending is set until the outcome of the latest request is known. answerTime is
+	// the time until its answer began, 0 until then, and lastProgressAt is when a part of
+	// the answer was last acknowledged.
+	outcomePending bool
+	// answerPending is set until a part of the answer to the latest request is
+	// acknowledged, even if the outcome was counted before.
+	answerPending  bool
+	answerTime     time.Duration
+	lastProgressAt time.Time
+	// acked is how far the caller has acknowledged its target's answers, and requestAcked
+	// how far it had when it sent its latest request. A caller that sends payload after
+	// acknowledging more starts a new request, while the further segments of a long request
+	// acknowledge nothing new.
 	acked, requestAcked uint32
 	// sentEnd is the end of what the caller has sent.
 	sentEnd uint32
 }
 
-// shard is a part of the flows under its own lock.
+// shard is a part of the flow table with its own lock.
 type shard struct {
 	mu    sync.Mutex
 	flows map[baobabstep.FlowKey]*flow
@@ -77,7 +77,7 @@
 
 func (t *flowTable) shard(h flowHash) *shard { return &t.shards[h%shardCount] }
 
-// add records a flow at its target.
+// add records a flow and counts it at its target.
 func (s *shard) add(key baobabstep.FlowKey, f *flow) {
 	s.remove(key)
 	f.target.load.flows.Add(1)
@@ -91,7 +91,7 @@
 	}
 }
 
-// close takes the flow out of its target's load.
+// close removes the flow from the open flows of its target.
 func (f *flow) close() {
 	if !f.closed {
 		f.closed = true
@@ -99,55 +99,57 @@
 	}
 }
 
-// closedFor is how long the record of a closed flow stays: longer than the
-// last acknowledgements of both ends take with one retransmission.
-const closedFor = time.Second
+// closedRetention is how long the record of a closed flow is kept: longer than the last
+// acknowledgements of both ends take with one retransmission.
+const closedRetention = time.Second
 
-// vanishedAfter is how long after its first segment a flow of which nothing
-// more came was refused by its target: callers send a copy after 200 ms unless
-// they heard something, and go on at once if it was an acceptance.
-const vanishedAfter = 300 * time.Millisecond
+// vanishTimeout is how long after its first segment, without any further packet, a flow
+// counts as refused by its target. Callers that got no reply send a copy after 200 ms, and
+// callers whose flow was accepted continue at once.
+const vanishTimeout = 300 * time.Millisecond
 
-// vanished tells, once, whether the flow's target seems to have refused it.
-func (f *flow) vanished(now time.Time) bool {
-	if !f.opening || f.unanswered || f.repeated || now.Sub(f.sent) < vanishedAfter {
+// markVanished reports whether the flow's target seems to have refused it. It returns true
+// only once for a flow.
+func (f *flow) markVanished(now time.Time) bool {
+	if !f.opening || f.countedUnanswered || f.copySeen || now.Sub(f.requestSentAt) < vanishTimeout {
 		return false
 	}
-	f.unanswered = true
+	f.countedUnanswered = true
 	return true
 }
 
-// expire forgets flows that were silent for idle, returns those that vanished,
-// and shows those whose request is under way to look. Both come in the order in
-// which their requests were sent: what is learned of sizes and times depends on it,
-// and the same packets have to lead to the same decisions.
-func (s *shard) expire(now time.Time, idle time.Duration, look func(*flow)) (vanished []*flow) {
+// expire drops flows without packets for idle and returns the flows that vanished. It calls
+// check for each flow with a request in progress. Both are processed in the order in which
+// the requests were sent: the learned sizes and times depend on the order, and the same
+// packets must lead to the same decisions.
+func (s *shard) expire(now time.Time, idle time.Duration, check func(*flow)) (vanished []*flow) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var asked []*flow
+	var pending []*flow
 	for key, f := range s.flows {
-		silent := now.Sub(f.heard)
-		if f.vanished(now) {
+		idleTime := now.Sub(f.lastPacketAt)
+		if f.markVanished(now) {
 			vanished = append(vanished, f)
 		}
-		if f.asked || f.waits {
-			asked = append(asked, f)
+		if f.outcomePending || f.answerPending {
+			pending = append(pending, f)
 		}
-		if silent >= idle || f.closed && silent >= closedFor {
+		if idleTime >= idle || f.closed && idleTime >= closedRetention {
 			s.remove(key)
 		}
 	}
-	slices.SortFunc(vanished, bySent)
-	slices.SortFunc(asked, bySent)
-	for _, f := range asked {
-		look(f)
+	slices.SortFunc(vanished, compareRequestTimes)
+	slices.SortFunc(pending, compareRequestTimes)
+	for _, f := range pending {
+		check(f)
 	}
 	return vanished
 }
 
-// bySent compares flows by when their requests were sent, then by their ends.
-func bySent(a, b *flow) int {
-	return cmp.Or(a.sent.Compare(b.sent), a.key.Caller.Compare(b.key.Caller), a.key.Service.Compare(b.key.Service))
+// compareRequestTimes orders flows by the time of their latest request, then by their
+// addresses.
+func compareRequestTimes(a, b *flow) int {
+	return cmp.Or(a.requestSentAt.Compare(b.requestSentAt), a.key.Caller.Compare(b.key.Caller), a.key.Service.Compare(b.key.Service))
 }
 
 // count returns the number of flows in the table.
--- a/core/token/flow_bench_test.go
+++ b/core/token/flow_bench_test.go
@@ -7,8 +7,8 @@
 	"baobabstep"
 )
 
-// BenchmarkSegments is the cost of one segment: flows of a first segment, a
-// request, two acknowledgements of its answer and the end.
+// BenchmarkSegments measures the cost of one segment. Each flow has a first segment, a
+// request, two acknowledgements of its answer and a close.
 func BenchmarkSegments(b *testing.B) {
 	r := newRouter(b)
 	r.SetRegistrations(start, manyTargets(18))
--- a/core/token/follow.go
+++ b/core/token/follow.go
@@ -7,181 +7,183 @@
 	"baobabstep/core/answer"
 )
 
-// moves tells whether the copy of a first segment should go to another target
-// than the first one did, and counts the flow against its target.
+// shouldMove reports whether a copy of a first segment should go to another target than the
+// first one did. It also counts the flow against its target.
 //
-// A target that answers after all would leave the caller with a flow at one
-// target and the token of the other. So a flow moves only away from a target
-// that other flows find silent as well, or did before and nobody has heard of it
-// since: an answer comes within milliseconds, and the copy 200 ms later.
-func (r *Router) moves(now time.Time, s *snapshot, f *flow) bool {
-	if now.Sub(f.sent) < copyAfter {
+// If the first target answered after all, the caller would have a flow at one target and
+// the token of another. So a flow moves only if other flows found the target silent as
+// well, or found it silent earlier and it has not been heard from since. An answer arrives
+// within milliseconds, the copy 200 ms later.
+func (r *Router) shouldMove(now time.Time, s *snapshot, f *flow) bool {
+	if now.Sub(f.requestSentAt) < minCopyDelay {
 		return false
 	}
-	if !f.unanswered {
-		f.unanswered = true
-		r.left(now, f, openRepeated)
+	if !f.countedUnanswered {
+		f.countedUnanswered = true
+		r.noteUnanswered(now, f, openRepeated)
 	}
 	present := s.targets[f.target.id]
-	return !f.target.sameRun(present) || !present.choosable(now) || f.target.load.suspect(now) || f.target.load.distrusted()
+	return !f.target.sameRun(present) || !present.acceptsNewFlows(now) || f.target.load.suspect(now) || f.target.load.unheardSinceAvoided()
 }
 
-// answered notes that a target was heard of.
-func (r *Router) answered(now time.Time, t *target) {
-	back, again, disputed := t.load.answered(now)
-	if back {
+// noteAnswer records that a target was heard from.
+func (r *Router) noteAnswer(now time.Time, t *target) {
+	recovered, wasSuspect, disputed := t.load.noteAnswer(now)
+	if recovered {
 		r.presumeCold(now, t)
 	}
-	if again {
+	if wasSuspect {
 		r.record(now, EventHeard, r.current.Load(), nil, t, nil)
 	}
 	if disputed {
-		r.troubles.add(t.id)
+		r.urgentReports.add(t.id)
 	}
 }
 
-// left counts a flow against its target. A target that was heard of since the
-// flow's segment went out lives: then the segment was lost, or its answer.
-func (r *Router) left(now time.Time, f *flow, how silence) {
+// noteUnanswered counts a flow against its target. If the target was heard from after the
+// flow's segment was sent, the target is alive and the segment or its answer was lost; then
+// the target's health is not affected.
+func (r *Router) noteUnanswered(now time.Time, f *flow, kind silenceKind) {
 	t := f.target
-	if how != requestRepeated {
-		r.count(now, f, answer.Refused)
+	if kind != requestRepeated {
+		r.countOutcome(now, f, answer.Refused)
 	}
-	if here, elsewhere := t.load.heardAt(); here.After(f.sent) || elsewhere.After(f.sent) {
+	if here, elsewhere := t.load.lastHeard(); here.After(f.requestSentAt) || elsewhere.After(f.requestSentAt) {
 		return
 	}
-	t.load.left(now, how)
+	t.load.noteUnanswered(now, kind)
 	r.record(now, EventSilent, r.current.Load(), nil, t, nil)
-	r.avoid(now, t)
-	r.troubles.add(t.id)
+	r.avoidIfRefusing(now, t)
+	r.urgentReports.add(t.id)
 }
 
-// hearingFor is how long ago another target of the service may have been heard
-// of for this VM to trust that it hears at all.
-const hearingFor = 500 * time.Millisecond
+// maxHearingAge is how recently another target of the service must have been heard from for
+// this VM to rule out that its own link is broken.
+const maxHearingAge = 500 * time.Millisecond
 
-// outOfReach tells whether the flows of a target should be ended, so that their
-// callers try again elsewhere while they have time. Without that they wait for
-// an answer until their time limits.
+// confirmedUnreachable reports whether the flows of a target should be reset, so that their
+// callers retry elsewhere early. Otherwise the callers wait for an answer until their
+// timeouts.
 //
-// It is the target that is silent, not this VM that hears nothing, if another
-// target of the service was heard of just now.
-func (r *Router) outOfReach(now time.Time, s *snapshot, t *target) bool {
-	alone := r.vms() == 1
-	if !t.load.dark(now, alone) {
+// The target, and not this VM's own link, is at fault if another target of the service was
+// heard from within maxHearingAge.
+func (r *Router) confirmedUnreachable(now time.Time, s *snapshot, t *target) bool {
+	alone := r.vmCount() == 1
+	if !t.load.unreachable(now, alone) {
 		return false
 	}
 	for _, other := range s.pools[t.registration.Service].targets {
-		if other != t && !other.load.dark(now, alone) && now.Sub(heardHere(other)) < hearingFor {
+		if other != t && !other.load.unreachable(now, alone) && now.Sub(lastHeardLocally(other)) < maxHearingAge {
 			return true
 		}
 	}
 	return false
 }
 
-// giveUp ends a flow whose request is at a target that has gone dark since. Its
-// caller may have had the request acknowledged: then it sends no copy that the VM
-// could answer, and waits for its time limit, 2 s for an answer that takes 30 ms.
-func (r *Router) giveUp(now time.Time, s *snapshot, f *flow, out *[]baobabstep.Forward) bool {
-	if !f.waits || f.opening || f.closed || !r.on(MechanismEndFlows) {
+// endStrandedFlow resets a flow whose request is at a target that has become unreachable,
+// and reports whether it did. If the target acknowledged the request, the caller sends no
+// copy that the VM could answer with a reset, and waits for its timeout: 2 s for an answer
+// that takes 30 ms.
+func (r *Router) endStrandedFlow(now time.Time, s *snapshot, f *flow, out *[]baobabstep.Forward) bool {
+	if !f.answerPending || f.opening || f.closed || !r.enabled(MechanismEndFlows) {
 		return false
 	}
-	if !r.outOfReach(now, s, f.target) {
+	if !r.confirmedUnreachable(now, s, f.target) {
 		return false
 	}
-	f.asked, f.waits = false, false
+	f.outcomePending, f.answerPending = false, false
 	f.close()
 	segment := baobabstep.Segment{Flow: f.key, Seq: f.sentEnd, Acked: f.acked}
 	r.record(now, EventEnded, s, f.rule, f.target, &segment)
-	reset(&segment, out)
+	appendReset(&segment, out)
 	return true
 }
 
-// heardHere returns when this VM last heard of a target.
-func heardHere(t *target) time.Time {
-	here, _ := t.load.heardAt()
+// lastHeardLocally returns when this VM last heard from a target.
+func lastHeardLocally(t *target) time.Time {
+	here, _ := t.load.lastHeard()
 	return here
 }
 
-// note keeps the record of a flow in step with a later packet.
-func (r *Router) note(now time.Time, shard *shard, t *target, route *rule, p *baobabstep.Segment) {
+// trackSegment updates the record of a flow from a later packet.
+func (r *Router) trackSegment(now time.Time, shard *shard, t *target, route *rule, p *baobabstep.Segment) {
 	f := shard.flows[p.Flow]
 	switch {
 	case f == nil:
-		shard.add(p.Flow, adopted(now, t, route, p))
+		shard.add(p.Flow, newAdoptedFlow(now, t, route, p))
 	case !f.target.sameRun(t):
-		// The flow was opened at another target than this VM sent it to last, or
-		// the target has started again and will tell the caller that it is gone.
-		r.answered(now, t)
-		shard.add(p.Flow, adopted(now, t, route, p))
+		// Either the flow was opened at another target than the one this VM last sent it
+		// to, or the target has restarted and will tell the caller that the flow is gone.
+		r.noteAnswer(now, t)
+		shard.add(p.Flow, newAdoptedFlow(now, t, route, p))
 	default:
-		r.follow(now, f, p)
+		r.updateFlow(now, f, p)
 	}
 	if p.Kind == baobabstep.KindReset || p.Kind == baobabstep.KindClose {
 		shard.flows[p.Flow].close()
 	}
 }
 
-// adopted returns the record of a flow that this VM did not place.
-func adopted(now time.Time, t *target, route *rule, p *baobabstep.Segment) *flow {
+// newAdoptedFlow returns the record of a flow that this VM did not place.
+func newAdoptedFlow(now time.Time, t *target, route *rule, p *baobabstep.Segment) *flow {
 	return &flow{
-		key: p.Flow, target: t, rule: route, heard: now, sent: now, acked: p.Acked, requestAcked: p.Acked, sentEnd: p.Seq + uint32(p.Size),
+		key: p.Flow, target: t, rule: route, lastPacketAt: now, requestSentAt: now, acked: p.Acked, requestAcked: p.Acked, sentEnd: p.Seq + uint32(p.Size),
 	}
 }
 
-// follow notes what a later segment says of a flow that this VM knows.
-func (r *Router) follow(now time.Time, f *flow, p *baobabstep.Segment) {
-	// What a caller's reset acknowledges is not said anywhere.
-	progress := p.Kind != baobabstep.KindReset && after(p.Acked, f.acked)
+// updateFlow updates the record of a known flow from a later segment.
+func (r *Router) updateFlow(now time.Time, f *flow, p *baobabstep.Segment) {
+	// The acknowledgement number of a caller's reset is undefined.
+	progress := p.Kind != baobabstep.KindReset && seqAfter(p.Acked, f.acked)
 	if f.opening || progress {
-		f.unanswered = false
-		r.answered(now, f.target)
-	}
-	if progress && !f.opening && f.timed && p.Size == 0 {
-		f.timed = false
-		f.took = now.Sub(f.sent)
-		if r.o.Finished != nil {
-			r.o.Finished(f.took)
+		f.countedUnanswered = false
+		r.noteAnswer(now, f.target)
+	}
+	if progress && !f.opening && f.timingPending && p.Size == 0 {
+		f.timingPending = false
+		f.answerTime = now.Sub(f.requestSentAt)
+		if r.options.Finished != nil {
+			r.options.Finished(f.answerTime)
 		}
 	}
 	if f.opening {
-		r.openings.done(p.Flow.Caller.Addr(), f)
-		// The first segment counted as the start of the first request.
+		r.openingFlows.remove(p.Flow.Caller.Addr(), f)
+		// The first segment was counted as the start of the first request.
 		f.opening, f.acked, f.requestAcked = false, p.Acked, p.Acked
 		f.sentEnd = p.Seq
-		f.ask(now)
+		f.beginRequest(now)
 	}
-	if end := p.Seq + uint32(p.Size); after(end, f.sentEnd) {
+	if end := p.Seq + uint32(p.Size); seqAfter(end, f.sentEnd) {
 		f.sentEnd = end
-		// The end of a flow takes a number too: the acknowledgement after it is
-		// past what was sent, but begins no request.
+		// The end of a flow occupies a sequence number as well: the acknowledgement after
+		// it is past the end of the payload, but starts no request.
 		if p.Size > 0 && p.Acked != f.requestAcked {
-			r.settle(now, f, p.Acked)
+			r.settleRequest(now, f, p.Acked)
 			f.requestAcked = p.Acked
-			f.ask(now)
-			f.target.load.started(now)
+			f.beginRequest(now)
+			f.target.load.countRequest(now)
 		}
-	} else if p.Size > 0 && !progress && !f.unanswered && now.Sub(f.sent) >= copyAfter {
-		f.unanswered = true
-		r.left(now, f, requestRepeated)
+	} else if p.Size > 0 && !progress && !f.countedUnanswered && now.Sub(f.requestSentAt) >= minCopyDelay {
+		f.countedUnanswered = true
+		r.noteUnanswered(now, f, requestRepeated)
 	}
-	f.heard = now
+	f.lastPacketAt = now
 	if progress {
-		f.acked, f.progressAt = p.Acked, now
-		f.waits = p.Acked == f.requestAcked // it began a request
+		f.acked, f.lastProgressAt = p.Acked, now
+		f.answerPending = p.Acked == f.requestAcked // still set if p starts a request
 	}
 	switch p.Kind {
 	case baobabstep.KindClose:
-		r.settle(now, f, f.acked)
+		r.settleRequest(now, f, f.acked)
 	case baobabstep.KindReset:
-		f.asked = false // the caller left; that says nothing of the target
+		f.outcomePending = false // the caller gave up, which is no evidence against the target
 	}
 }
 
-// ask notes that a request begins.
-func (f *flow) ask(now time.Time) {
-	f.sent, f.timed, f.asked, f.waits, f.took = now, true, true, true, 0
+// beginRequest records the start of a request.
+func (f *flow) beginRequest(now time.Time) {
+	f.requestSentAt, f.timingPending, f.outcomePending, f.answerPending, f.answerTime = now, true, true, true, 0
 }
 
-// after tells whether number a follows b, both modulo 2^32.
-func after(a, b uint32) bool { return int32(a-b) > 0 }
+// seqAfter reports whether sequence number a comes after b, modulo 2^32.
+func seqAfter(a, b uint32) bool { return int32(a-b) > 0 }
--- a/core/token/health_test.go
+++ b/core/token/health_test.go
@@ -9,7 +9,7 @@
 	"baobabstep"
 )
 
-// sendCopy sends a copy of a flow's first segment and returns where it went.
+// sendCopy sends a copy of a flow's first segment and returns the target it went to.
 func sendCopy(t testing.TB, r *Router, now time.Time, key baobabstep.FlowKey) baobabstep.TargetID {
 	t.Helper()
 	out := handle(r, now, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq, Acked: 1})
@@ -17,9 +17,9 @@
 	return out[0].Target
 }
 
-// darkRouter returns a router with four targets in its data centre, of which
-// the first two flows found one silent, and that target.
-func darkRouter(t testing.TB) (*Router, baobabstep.TargetID, time.Time) {
+// newRouterWithSilentTarget returns a router with four targets in its data centre, the one
+// of them that two flows found silent, and the present time.
+func newRouterWithSilentTarget(t testing.TB) (*Router, baobabstep.TargetID, time.Time) {
 	t.Helper()
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(4))
@@ -35,56 +35,58 @@
 	return r, 1, later
 }
 
-// A target crashes and says nothing. Callers repeat their first packets after
-// 200 ms; until its registration lapses seconds later each new flow to it
-// would run into its caller's time limit. The second flow that it leaves
-// unanswered moves to another target, and new flows go elsewhere.
+// Guards against sending new flows to a crashed target until its registration lapses
+// seconds later, which would cost each caller its timeout. Callers repeat their first
+// packets after 200 ms. The second unanswered flow moves to another target, and new flows
+// avoid the silent one.
 func TestSilentTargetGetsNoNewFlows(t *testing.T) {
-	r, dark, now := darkRouter(t)
+	r, silent, now := newRouterWithSilentTarget(t)
 	for id, n := range openMany(t, r, now, 100, 100) {
-		qt.Assert(t, id, qt.Not(qt.Equals), dark, qt.Commentf("got %d flows", n))
+		qt.Assert(t, id, qt.Not(qt.Equals), silent, qt.Commentf("got %d flows", n))
 	}
 }
 
-func TestSilentTargetIsTried(t *testing.T) {
-	r, dark, now := darkRouter(t)
-	now = now.Add(firstTrial)
+func TestSilentTargetGetsTrialFlows(t *testing.T) {
+	r, silent, now := newRouterWithSilentTarget(t)
+	now = now.Add(minTrialPause)
 	got := openMany(t, r, now, 100, 50)
-	qt.Assert(t, got[dark], qt.Equals, 1)
+	qt.Assert(t, got[silent], qt.Equals, 1)
 
-	t.Run("less and less while it stays silent", func(t *testing.T) {
-		qt.Assert(t, openMany(t, r, now.Add(firstTrial), 1000, 50)[dark] <= 1, qt.IsTrue)
+	t.Run("less often while it stays silent", func(t *testing.T) {
+		qt.Assert(t, openMany(t, r, now.Add(minTrialPause), 1000, 50)[silent] <= 1, qt.IsTrue)
 	})
-	t.Run("and is taken back once it answers", func(t *testing.T) {
-		r, dark, now := darkRouter(t)
-		now = now.Add(firstTrial)
+	t.Run("gets new flows again once it answers", func(t *testing.T) {
+		r, silent, now := newRouterWithSilentTarget(t)
+		now = now.Add(minTrialPause)
 		for port := uint16(100); ; port++ {
 			key := flowFrom(port, fixtures)
 			target, token := open(t, r, now, key)
-			if target == dark {
+			if target == silent {
 				handle(r, now, data(key, token))
 				break
 			}
 		}
-		qt.Assert(t, openMany(t, r, now, 1000, 100)[dark] > 10, qt.IsTrue)
+		qt.Assert(t, openMany(t, r, now, 1000, 100)[silent] > 10, qt.IsTrue)
 	})
 }
 
-// This VM was slow: a first packet and its copy waited in its socket together.
-// The target has had no time to answer, so the copy says nothing of it, and a
-// move would leave the flow open at one target with the token of another.
-func TestCopyBehindItsFirstPacketMovesNothing(t *testing.T) {
-	r, dark, now := darkRouter(t)
-	r.SetRegistrations(now, []baobabstep.Registration{registration(dark, "fixtures", "a")})
+// Guards against moving a flow because of a copy that was queued in this VM's socket
+// together with the first packet. The target has had no time to answer, so the copy is no
+// evidence against it, and a move would leave the flow open at one target with the token of
+// another.
+func TestEarlyCopyDoesNotMoveFlow(t *testing.T) {
+	r, silent, now := newRouterWithSilentTarget(t)
+	r.SetRegistrations(now, []baobabstep.Registration{registration(silent, "fixtures", "a")})
 	key := flowFrom(500, fixtures)
 	open(t, r, now, key)
 	r.SetRegistrations(now, manyTargets(4))
-	qt.Assert(t, sendCopy(t, r, now.Add(copyAfter-1), key), qt.Equals, dark)
+	qt.Assert(t, sendCopy(t, r, now.Add(minCopyDelay-1), key), qt.Equals, silent)
 }
 
-// All targets look dark: this VM has lost its own link, or its callers have.
-// Refusing would make that an outage of the service.
-func TestAllTargetsSilentChangesNothing(t *testing.T) {
+// Guards against refusing all flows because this VM's own link, or that of its callers, is
+// broken and all targets seem unreachable. Refusing would turn that into an outage of the
+// service.
+func TestFlowsArePlacedIfAllTargetsAreSilent(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(2))
 	for port := range uint16(10) {
@@ -95,10 +97,10 @@
 	open(t, r, start.Add(300*time.Millisecond), flowFrom(99, fixtures))
 }
 
-// A target dies with long flows on it. Their callers would wait for an answer
-// until their time limits, and find out only then. Once two first segments were
-// left unanswered while other targets answer, the flows are reset at once.
-func TestFlowsOfDarkTargetAreEnded(t *testing.T) {
+// Guards against callers with long flows at a dead target that wait for their timeouts.
+// Once two first segments are unanswered while other targets answer, the flows are reset at
+// once.
+func TestFlowsOfUnreachableTargetAreReset(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(2))
 	established := map[baobabstep.TargetID]baobabstep.Segment{}
@@ -109,7 +111,7 @@
 		handle(r, start, data(key, token))
 	}
 	now := start.Add(200 * time.Millisecond)
-	for port := uint16(100); !r.current.Load().targets[1].load.dark(now, true); port++ {
+	for port := uint16(100); !r.current.Load().targets[1].load.unreachable(now, true); port++ {
 		key := flowFrom(port, fixtures)
 		if target, _ := open(t, r, now, key); target == 1 {
 			now = now.Add(200 * time.Millisecond)
@@ -118,42 +120,43 @@
 	}
 	next := established[1]
 	next.Seq += 100
-	t.Run("not while this VM hears nothing at all", func(t *testing.T) {
-		assertPassed(t, r, now.Add(hearingFor), next, 1)
+	t.Run("not while this VM hears from no target", func(t *testing.T) {
+		assertPassed(t, r, now.Add(maxHearingAge), next, 1)
 	})
 	heard := established[2]
 	heard.Acked += 100
 	assertPassed(t, r, now, heard, 2)
 	assertReset(t, r, now, next)
-	t.Run("and not once the target is heard of again", func(t *testing.T) {
-		r.current.Load().targets[1].load.answered(now)
+	t.Run("not once the target is heard from again", func(t *testing.T) {
+		r.current.Load().targets[1].load.noteAnswer(now)
 		assertPassed(t, r, now, next, 1)
 	})
 }
 
-// A target was dark and is back. A VM that had nothing for it meanwhile still
-// holds what it found; a flow that was opened over another VM is handed to it, and
-// was reset, seconds after the target had come back.
-func TestOldEvidenceEndsNoFlow(t *testing.T) {
+// Guards against resetting flows because of expired evidence. A target was unreachable and
+// has recovered. A VM that had no packets for it in the meantime still holds its evidence,
+// and then receives a flow that was opened through another VM; such flows were reset
+// seconds after the recovery.
+func TestExpiredEvidenceResetsNoFlow(t *testing.T) {
 	r := newRouter(t)
-	open(t, r, start, flowFrom(2, fixtures)) // another target of the service is heard of
+	open(t, r, start, flowFrom(2, fixtures)) // another target of the service is heard from
 	key := flowFrom(1, fixtures)
 	token := tokenFor(hashFlow(key), 1)
 	silent := r.current.Load().targets[1].load
 	for range 5 {
-		silent.left(start, openRepeated)
+		silent.noteUnanswered(start, openRepeated)
 	}
-	later := start.Add(freshFor)
-	r.current.Load().targets[2].load.answered(later)
+	later := start.Add(evidenceLifetime)
+	r.current.Load().targets[2].load.noteAnswer(later)
 	assertReset(t, r, later.Add(-1), data(key, token))
 	assertPassed(t, r, later, data(key, token), 1)
-	qt.Assert(t, silent.toldSilence(later).Unanswered, qt.Equals, 0)
+	qt.Assert(t, silent.silenceReport(later).Unanswered, qt.Equals, 0)
 }
 
-// A target is overloaded: it accepts flows at once, but its answers take longer
-// than the 200 ms after which callers repeat their requests. Its flows are alive
-// and must not be reset, however many requests are repeated between its answers.
-func TestSlowAnswersEndNoFlow(t *testing.T) {
+// Guards against resetting flows of an overloaded target. It accepts flows at once, but its
+// answers take longer than the 200 ms after which callers repeat their requests, so many
+// requests are repeated between two answers.
+func TestSlowAnswersResetNoFlow(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(2))
 	var segments []baobabstep.Segment
@@ -169,7 +172,7 @@
 		now = now.Add(250 * time.Millisecond)
 		for i := range segments {
 			s := &segments[i]
-			if (i+round)%3 == 0 { // every third is answered by now and goes on
+			if (i+round)%3 == 0 { // every third request is answered by now
 				s.Acked += 600
 				s.Seq += uint32(s.Size)
 			}
@@ -179,10 +182,10 @@
 	}
 }
 
-// The link of this VM is full: first segments are lost on their way to targets
-// that live, as the segments of other flows to them show. A flow that was reset
-// for that would break at a target to which nothing had happened.
-func TestLostSegmentsSayNothingOfTargetThatIsHeard(t *testing.T) {
+// Guards against evidence from segments that were lost on this VM's own full link. Segments
+// of other flows show that the target is alive; resetting flows would break them at a
+// healthy target.
+func TestLostSegmentsAreNoEvidenceAgainstLiveTarget(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, results)
 	_, token := open(t, r, start, key)
@@ -196,45 +199,46 @@
 	for port := range uint16(9) {
 		sendCopy(t, r, start.Add(201*time.Millisecond), flowFrom(port+100, results))
 	}
-	flows, _ := r.current.Load().targets[3].load.unanswered()
+	flows, _ := r.current.Load().targets[3].load.unansweredCounts()
 	qt.Assert(t, flows, qt.Equals, 0)
 }
 
-// A caller gives up and resets its flow. What that segment acknowledges means
-// nothing; taken for an answer, it made dark targets seem alive again.
-func TestCallersResetIsNoAnswer(t *testing.T) {
+// Guards against taking the acknowledgement number of a caller's reset for an answer. The
+// number is undefined there; taken for an answer, it cleared the evidence against
+// unreachable targets.
+func TestCallerResetIsNotAnAnswer(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, results)
 	_, token := open(t, r, start, key)
 	handle(r, start, data(key, token))
 	load := r.current.Load().targets[3].load
-	load.left(start, openRepeated)
+	load.noteUnanswered(start, openRepeated)
 	gone := data(key, token)
 	gone.Kind, gone.Acked = baobabstep.KindReset, gone.Acked+5
 	handle(r, start, gone)
-	flows, _ := load.unanswered()
+	flows, _ := load.unansweredCounts()
 	qt.Assert(t, flows, qt.Equals, 1)
 }
 
-// silentTo returns what some VMs say that each found as many flows unanswered, all
-// from their first segment on.
-func silentTo(vms, flows int, leftAt time.Time) (reports []baobabstep.Silence) {
+// silenceReports returns the reports of some VMs, each of which found the given number of
+// flows unanswered, all from their first segments on.
+func silenceReports(vms, flows int, leftAt time.Time) (reports []baobabstep.Silence) {
 	for range vms {
 		reports = append(reports, baobabstep.Silence{Unanswered: flows, Opens: flows, LeftAt: leftAt})
 	}
 	return reports
 }
 
-// Each VM of a data centre sees a few flows of a silent target. One own flow and
-// the word of another VM have to be enough, and the word of others alone keeps
-// new flows away; but what this VM hears itself goes first.
-func TestWordOfOtherVMs(t *testing.T) {
+// Each VM of a data centre sees a few flows of a silent target. One own flow and the report
+// of another VM must be enough to reset flows, and reports alone must keep new flows away.
+// A sign of life seen by this VM takes precedence.
+func TestReportsOfOtherVMs(t *testing.T) {
 	now := start.Add(time.Second)
 	for _, test := range []struct {
-		name          string
-		own, others   int
-		heard, alone  bool
-		suspect, dark bool
+		name                 string
+		own, others          int
+		heard, alone         bool
+		suspect, unreachable bool
 	}{
 		{"one own", 1, 0, false, true, false, false},
 		{"one own, one of another VM", 1, 1, false, false, true, true},
@@ -242,68 +246,68 @@
 		{"two own, no other VM there", 2, 0, false, true, true, true},
 		{"many own, no other VM agrees", 9, 0, false, false, true, false},
 		{"two of another VM", 0, 2, false, false, true, false},
-		{"two of another VM, but heard here", 0, 2, true, false, false, false},
+		{"two of another VM, but heard from here", 0, 2, true, false, false, false},
 		{"one of another VM", 0, 1, false, false, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var h health
 			if test.others > 0 {
-				h.reports = silentTo(1, test.others, now)
+				h.reports = silenceReports(1, test.others, now)
 			}
 			for range test.own {
-				h.left(now, openRepeated)
+				h.noteUnanswered(now, openRepeated)
 			}
 			if test.heard {
-				h.answered(now)
+				h.noteAnswer(now)
 			}
 			qt.Check(t, h.suspect(now), qt.Equals, test.suspect)
-			qt.Check(t, h.dark(now, test.alone), qt.Equals, test.dark)
+			qt.Check(t, h.unreachable(now, test.alone), qt.Equals, test.unreachable)
 		})
 	}
 }
 
-// In a large fleet each VM carries a few long flows to a target. It dies, two VMs
-// find it silent, and seconds later the caller of an idle flow over a third one
-// sends its next request. That VM sees one request repeated, once: one flow is
-// never enough there, and the caller ran into its time limit. Two VMs that each
-// found two flows silent, a first segment among them, are as good as own ones.
-func TestOneRequestIsEnoughWhereTwoVMsAgree(t *testing.T) {
+// Guards against callers of idle flows that run into their timeouts at a dead target in a
+// large fleet. Two VMs have found the target silent. Seconds later the caller of an idle
+// flow through a third VM sends a request, and that VM sees it repeated once, which is not
+// enough by itself. If two VMs each found two flows silent, one of them from its first
+// segment, their reports count as own evidence.
+func TestOneOwnRequestSufficesIfTwoVMsAgree(t *testing.T) {
 	now := start.Add(time.Second)
 	for _, test := range []struct {
-		name      string
-		how       silence
-		witnesses int
-		heardAgo  time.Duration
-		dark      bool
+		name        string
+		how         silenceKind
+		reporters   int
+		heardAgo    time.Duration
+		unreachable bool
 	}{
 		{"two others", requestRepeated, 2, time.Hour, true},
 		{"one other, its own link may be full", requestRepeated, 1, time.Hour, false},
-		{"two others, but a fourth VM hears it", requestRepeated, 2, 0, false},
-		{"two others, nothing here yet", openVanished + 1, 2, time.Hour, false},
+		{"two others, but a fourth VM hears from it", requestRepeated, 2, 0, false},
+		{"two others, no own evidence", openVanished + 1, 2, time.Hour, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var h health
-			h.reports = silentTo(test.witnesses, 9, now)
+			h.reports = silenceReports(test.reporters, 9, now)
 			h.othersHeardAt = now.Add(-test.heardAgo)
 			if test.how <= openVanished {
-				h.left(now, test.how)
+				h.noteUnanswered(now, test.how)
 			}
-			qt.Check(t, h.dark(now, false), qt.Equals, test.dark)
+			qt.Check(t, h.unreachable(now, false), qt.Equals, test.unreachable)
 		})
 	}
 }
 
-// A target's process has died and its host refuses flows at once. The caller
-// hears that directly and tries again within milliseconds, from another port; the
-// dead target looks idle, and got try after try. The next try has to go elsewhere.
-func TestNextTryGoesElsewhere(t *testing.T) {
+// Guards against repeated tries at a dead target. Its process has died and its host refuses
+// flows at once. The caller receives the refusal directly and retries within milliseconds
+// from another port; the dead target looks idle, and got every try.
+func TestNextTryGoesToAnotherTarget(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(3))
 	first, _ := open(t, r, start, flowFrom(1, fixtures))
 	second, _ := open(t, r, start.Add(5*time.Millisecond), flowFrom(2, fixtures))
 	qt.Assert(t, second, qt.Not(qt.Equals), first)
 
-	t.Run("also if it is the least loaded", func(t *testing.T) {
+	t.Run("even if the first target is the least loaded", func(t *testing.T) {
 		r := newRouter(t)
 		r.SetRegistrations(start, manyTargets(2))
 		r.SetOthers(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, nil)
@@ -312,26 +316,27 @@
 		second, _ := open(t, r, start.Add(5*time.Millisecond), flowFrom(2, fixtures))
 		qt.Assert(t, second, qt.Equals, baobabstep.TargetID(2))
 	})
-	t.Run("unless there is no other", func(t *testing.T) {
+	t.Run("unless there is no other target", func(t *testing.T) {
 		r := newRouter(t)
 		r.SetRegistrations(start, manyTargets(1))
 		open(t, r, start, flowFrom(1, fixtures))
 		again, _ := open(t, r, start.Add(5*time.Millisecond), flowFrom(2, fixtures))
 		qt.Assert(t, again, qt.Equals, baobabstep.TargetID(1))
 	})
-	t.Run("a flow that opened says nothing", func(t *testing.T) {
+	t.Run("not after the flow was accepted", func(t *testing.T) {
 		r := newRouter(t)
 		key := flowFrom(1, fixtures)
 		_, token := open(t, r, start, key)
 		handle(r, start.Add(time.Millisecond), data(key, token))
-		qt.Assert(t, r.openings.tried(start.Add(2*time.Millisecond), key.Caller.Addr()), qt.IsNil)
+		qt.Assert(t, r.openingFlows.lastTried(start.Add(2*time.Millisecond), key.Caller.Addr()), qt.IsNil)
 	})
 }
 
-// A fabric that sprays, or changes the VMs of all flows, hands the first segment
-// of a flow to this VM and the rest to others. Here the flow vanishes, though its
-// target took it; open flows there must go on.
-func TestFlowsThatGoOnElsewhereEndNone(t *testing.T) {
+// Guards against resetting flows because of first segments whose later packets went through
+// other VMs, as with a fabric that sprays packets or moves all flows to other VMs. This VM
+// sees no further packets although the target accepted the flows; open flows there must
+// continue.
+func TestFlowsContinuedAtOtherVMsResetNone(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, results)
 	_, token := open(t, r, start, key)
@@ -340,28 +345,28 @@
 	for port := range uint16(20) {
 		open(t, r, now, flowFrom(port+2, results))
 	}
-	later := now.Add(vanishedAfter)
+	later := now.Add(vanishTimeout)
 	r.Tick(later, new([]baobabstep.Forward))
-	flows, opens := r.current.Load().targets[3].load.unanswered()
+	flows, opens := r.current.Load().targets[3].load.unansweredCounts()
 	qt.Assert(t, flows, qt.Equals, 20)
 	qt.Assert(t, opens, qt.Equals, 0)
 	assertPassed(t, r, later, data(key, token), 3)
 }
 
-// Of a flow that was refused nothing more comes, not even a copy. Two such in a
-// row keep new flows away, like two that stayed without an answer; a flow whose
-// caller sends a copy, or goes on, was not refused.
+// Guards against new flows to a target that refuses them. No further packet of a refused
+// flow arrives, not even a copy. Two such flows in a row keep new flows away, like two that
+// went unanswered; a flow whose caller sends a copy or continues was not refused.
 func TestRefusingTargetGetsNoNewFlows(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		then    func(r *Router, key baobabstep.FlowKey, token uint32)
 		suspect bool
 	}{
-		{"nothing more comes", func(*Router, baobabstep.FlowKey, uint32) {}, true},
-		{"a copy comes", func(r *Router, key baobabstep.FlowKey, _ uint32) {
-			handle(r, start.Add(copyAfter-1), baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq, Acked: 1})
+		{"no further packet", func(*Router, baobabstep.FlowKey, uint32) {}, true},
+		{"a copy arrives", func(r *Router, key baobabstep.FlowKey, _ uint32) {
+			handle(r, start.Add(minCopyDelay-1), baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq, Acked: 1})
 		}, false},
-		{"the caller goes on", func(r *Router, key baobabstep.FlowKey, token uint32) { handle(r, start, data(key, token)) }, false},
+		{"the caller continues", func(r *Router, key baobabstep.FlowKey, token uint32) { handle(r, start, data(key, token)) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRouter(t)
@@ -370,7 +375,7 @@
 				_, token := open(t, r, start, key)
 				test.then(r, key, token)
 			}
-			now := start.Add(vanishedAfter)
+			now := start.Add(vanishTimeout)
 			r.Tick(now, new([]baobabstep.Forward))
 			r.Tick(now, new([]baobabstep.Forward))
 			qt.Assert(t, r.current.Load().targets[3].load.suspect(now), qt.Equals, test.suspect)
--- a/core/token/help_test.go
+++ b/core/token/helpers_test.go
@@ -21,12 +21,12 @@
 	callerOne = netip.MustParseAddrPort("100.64.0.7:40001")
 )
 
-// newRouter returns a router in data centre a that knows a table at version 1,
-// two targets for fixtures (1 in a, 2 in b) and one for results (3 in a).
+// newRouter returns a router in data centre a with a table at version 1, two targets of
+// fixtures (1 in a, 2 in b) and one of results (3 in a).
 func newRouter(t testing.TB) *Router {
 	t.Helper()
 	r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2))})
-	r.SetTable(start, table(1, rule1(fixtures, "fixtures"), rule1(results, "results")))
+	r.SetTable(start, table(1, singleRule(fixtures, "fixtures"), singleRule(results, "results")))
 	r.SetRegistrations(start, threeTargets())
 	r.SetOthers(start, nil, map[string]int{"b": 1})
 	return r
@@ -42,7 +42,7 @@
 	return &baobabstep.RoutingTable{Version: version, Rules: rules}
 }
 
-func rule1(address netip.AddrPort, service string) baobabstep.Rule {
+func singleRule(address netip.AddrPort, service string) baobabstep.Rule {
 	return baobabstep.Rule{Name: service, Address: address, Shares: []baobabstep.Share{{Service: service, Weight: 1}}}
 }
 
@@ -64,7 +64,7 @@
 	return out
 }
 
-// open sends a first segment and returns the target and token it was given.
+// open sends a first segment and returns the target and the token of the flow.
 func open(t testing.TB, r *Router, now time.Time, key baobabstep.FlowKey) (baobabstep.TargetID, uint32) {
 	t.Helper()
 	out := handle(r, now, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq})
--- a/core/token/load.go
+++ b/core/token/load.go
@@ -11,38 +11,39 @@
 	"baobabstep/core/fade"
 )
 
-// loadWindow is the time over which requests count as load. It is long against
-// the time that a request takes, so that the count does not jump with each, and
-// short against the seconds in which demand moves.
+// loadWindow is the time over which requests count as load. It is long compared with the
+// time of a request, so that single requests do not make the count jump, and short compared
+// with the seconds in which demand changes.
 const loadWindow = 2 * time.Second
 
-// load counts what is sent to one target.
+// load counts what is sent to one target, and holds the evidence on its health and its
+// answers.
 type load struct {
-	// id identifies the target; active is the set of targets that may have something
-	// to report to other VMs.
+	// id identifies the target; active is the set of targets that may have something to
+	// report to other VMs.
 	id     baobabstep.TargetID
 	active *targetSet
-	// flows are the open flows that this VM has records of.
+	// flows is the number of open flows for which this VM has records.
 	flows atomic.Int32
 
 	mu sync.Mutex
-	// recent are the requests that this VM sent.
-	recent meter
-	// others are the requests that other VMs sent, by their last word.
-	others float64
-	health health
-	// tally counts what became of requests that this VM sent; othersAnswers
-	// and othersCallers are what other VMs of the data centre say of theirs.
-	tally         answer.Tally
-	othersAnswers answer.Sample
-	othersCallers answer.Callers
-	verdict       answer.Verdict
-	// nextTrial is when a target on trial may get the next flow.
+	// ownRequests are the recent requests that this VM sent.
+	ownRequests decayingCounter
+	// otherRequests are the recent requests of other VMs, by their latest reports.
+	otherRequests float64
+	health        health
+	// tally counts the outcomes of requests that this VM sent; otherAnswers and
+	// otherCallers are those reported by other VMs of the data centre.
+	tally        answer.Tally
+	otherAnswers answer.Sample
+	otherCallers answer.Callers
+	verdict      answer.Verdict
+	// nextTrial is when a target on trial may get its next flow.
 	nextTrial time.Time
-	cold      coldness
+	coldState coldState
 }
 
-// newLoad returns the load of a target that appears.
+// newLoad returns the load of a new target.
 func newLoad(now time.Time, id baobabstep.TargetID, active *targetSet) *load {
 	return &load{id: id, active: active, health: health{knownSince: now}}
 }
@@ -50,244 +51,247 @@
 // markActive adds the target to those that the next Router.Loads examines.
 func (l *load) markActive() { l.active.add(l.id) }
 
-// leastToldRequests is the weight of recent requests below which a target has none to
-// report: heartbeats carry whole tenths.
-const leastToldRequests = 0.1
-
-// toldLoad returns what other VMs are told of the target, and whether the target stays
-// active: it has something to report, or may have later without a further event. mean
-// is the time of answers of its service.
-func (l *load) toldLoad(now time.Time, mean time.Duration) (told baobabstep.TargetLoad, active bool) {
-	told = l.toldSilence(now)
-	told.Target = l.id
-	told.Requests, _ = l.requests(now)
-	sample, callers, notable := l.toldAnswers(now, mean)
+// minReportedRequests is the weight of recent requests below which none are reported:
+// heartbeats carry whole tenths.
+const minReportedRequests = 0.1
+
+// report returns the target's entry in this VM's heartbeats, and whether the target stays
+// active, which means that it has something to report or may have later without a further
+// event. mean is the mean answer time of its service.
+func (l *load) report(now time.Time, mean time.Duration) (report baobabstep.TargetLoad, active bool) {
+	report = l.silenceReport(now)
+	report.Target = l.id
+	report.Requests, _ = l.requests(now)
+	sample, callers, notable := l.answerReport(now, mean)
 	if notable {
-		told.Answers, told.Failed, told.Took, told.Callers = sample.Answers, sample.Failed, sample.Took, uint16(callers)
+		report.Answers, report.Failed, report.Took, report.Callers = sample.Answers, sample.Failed, sample.Took, uint16(callers)
 	}
-	active = told.Requests >= leastToldRequests || sample.Answers >= leastTold || told.Unanswered > 0 || told.Disputed
-	return told, active
+	active = report.Requests >= minReportedRequests || sample.Answers >= minReportedFailures || report.Unanswered > 0 || report.Disputed
+	return report, active
 }
 
-// assessment is what a load says for the choice of a target, at one moment.
+// assessment is the state of a target, at one moment, that the choice of a target depends
+// on.
 type assessment struct {
-	// suspect and doubtful are as in health; own are the recent requests that
-	// this VM sent, others those that other VMs did.
-	suspect, doubtful bool
-	own, others       float64
-	// took is how long requests take in seconds, answers the weight of those
-	// that were seen.
-	took, answers float64
-	// penalty is the work, in slots, by which the target counts as busier;
-	// onTrial and trialDue tell whether it is tried, and may get a flow now.
+	// suspect and needsProbe are as in health; ownRequests are the recent requests of this
+	// VM, otherRequests those of other VMs.
+	suspect, needsProbe        bool
+	ownRequests, otherRequests float64
+	// answerTime is the mean time of a request in seconds, answers the weight of the
+	// answers that it was measured from.
+	answerTime, answers float64
+	// penalty is the work, in slots, by which the target's score is raised; onTrial is set
+	// while the target is on trial, and trialDue if it may get a trial flow now.
 	penalty           float64
 	onTrial, trialDue bool
 }
 
-// assess returns all that the choice of a target needs under one lock.
+// assess reads everything that the choice of a target needs while holding the lock once.
 func (l *load) assess(now time.Time) assessment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	seen := l.tally.Sample(now).Plus(l.othersAnswers)
+	answers := l.tally.Sample(now).Plus(l.otherAnswers)
 	onTrial := l.verdict.State == answer.OnTrial
-	suspect, doubtful := l.health.standing(now)
+	suspect, needsProbe := l.health.status(now)
 	return assessment{
-		suspect: suspect, doubtful: doubtful,
-		own: l.recent.read(now), others: l.others,
-		took: seen.Took.Seconds(), answers: seen.Answers - seen.Failed,
+		suspect: suspect, needsProbe: needsProbe,
+		ownRequests: l.ownRequests.read(now), otherRequests: l.otherRequests,
+		answerTime: answers.Took.Seconds(), answers: answers.Answers - answers.Failed,
 		penalty: l.verdict.Penalty, onTrial: onTrial, trialDue: onTrial && !now.Before(l.nextTrial),
 	}
 }
 
-// doubt is the weight, in answers, that the mean of the service has against the
-// times that were seen at a target. Times of single requests differ by half their
-// mean, so one says about as much as that the target is like the others.
-const doubt = 1.0
+// priorWeight is the weight, in answers, of the service's mean against the times measured
+// at a target. Times of single requests vary by half their mean, so one measured time says
+// about as much as the assumption that the target is like the others.
+const priorWeight = 1.0
 
-// serviceTime returns how long a request takes, in seconds, where mean is what
-// it takes at the targets of the service on average. What was seen fades, so a
-// target that got no more requests is taken for as fast as the others again.
+// serviceTime returns the estimated time of a request in seconds; mean is the mean over the
+// targets of the service. Measurements decay, so a target that gets no more requests is
+// assumed to be as fast as the others again.
 func (a *assessment) serviceTime(mean float64) float64 {
-	return (mean*doubt + a.took*a.answers) / (doubt + a.answers)
+	return (mean*priorWeight + a.answerTime*a.answers) / (priorWeight + a.answers)
 }
 
-// tellTimes and tellOne are by how much a target's times have to differ from its
-// service's for other VMs to be told, as the logarithm of the ratio: by a factor
-// of 1.5, and for few answers by twice what chance makes of the mean of so many,
-// whose logarithm deviates by 0.6 for one. What the others are not told they take
-// for the mean.
+// minReportedLogRatio and singleAnswerLogRatio are the deviations of a target's answer time
+// from that of its service above which it is reported to other VMs, as the logarithm of the
+// ratio. The first is a factor of 1.5. The second applies to few answers: it is twice the
+// standard deviation of the logarithm of the mean, which is 0.6 for one answer. Other VMs
+// assume the mean for targets that are not reported.
 const (
-	tellTimes = 0.4
-	tellOne   = 1.2
+	minReportedLogRatio  = 0.4
+	singleAnswerLogRatio = 1.2
 )
 
-// toldAnswers returns what other VMs are told of a target's answers, and whether
-// there is anything to tell. mean is the time of answers of its service.
-func (l *load) toldAnswers(now time.Time, mean time.Duration) (s answer.Sample, callers answer.Callers, notable bool) {
+// answerReport returns what to report to other VMs of the target's answers, and whether it
+// deviates enough to be reported. mean is the mean answer time of its service.
+func (l *load) answerReport(now time.Time, mean time.Duration) (s answer.Sample, callers answer.Callers, notable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s = l.tally.Sample(now)
-	odd := false
-	if good := s.Answers - s.Failed; good >= 1 && mean > 0 && s.Took > 0 {
-		odd = math.Abs(math.Log(s.Took.Seconds()/mean.Seconds())) > max(tellTimes, tellOne/math.Sqrt(good))
+	deviates := false
+	if answered := s.Answers - s.Failed; answered >= 1 && mean > 0 && s.Took > 0 {
+		deviates = math.Abs(math.Log(s.Took.Seconds()/mean.Seconds())) > max(minReportedLogRatio, singleAnswerLogRatio/math.Sqrt(answered))
 	}
-	return s, l.tally.Callers(now), s.Failed >= leastTold || odd
+	return s, l.tally.Callers(now), s.Failed >= minReportedFailures || deviates
 }
 
-// leastTold is the weight of failures below which nothing is told.
-const leastTold = 0.2
+// minReportedFailures is the weight of failures below which none are reported.
+const minReportedFailures = 0.2
 
-// answered notes that the target was heard of, and tells whether it had taken no
-// flows, whether it had been suspect, and whether other VMs say that it is silent
-// and are to hear of it.
-func (l *load) answered(now time.Time) (back, again, disputed bool) {
+// noteAnswer records that the target was heard from. It reports whether the target had been
+// avoided without being heard from since, whether it had been suspect, and whether other
+// VMs report it as silent and need a report of the answer.
+func (l *load) noteAnswer(now time.Time) (recovered, wasSuspect, disputed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	back = l.health.distrusted()
-	again = l.health.unanswered >= suspectAt
-	disputed = l.health.others(now).vms > 0 || now.Before(l.health.avoidUntil)
-	l.health.answered(now)
-	return back, again, disputed
+	recovered = l.health.unheardSinceAvoided()
+	wasSuspect = l.health.unanswered >= suspectThreshold
+	disputed = l.health.summariseReports(now).vms > 0 || now.Before(l.health.avoidUntil)
+	l.health.noteAnswer(now)
+	return recovered, wasSuspect, disputed
 }
 
-// left notes a flow that the target left unanswered.
-func (l *load) left(now time.Time, how silence) {
+// noteUnanswered records a flow that the target left unanswered.
+func (l *load) noteUnanswered(now time.Time, kind silenceKind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
-	l.health.left(now, how)
+	l.health.noteUnanswered(now, kind)
 }
 
-// suspect tells whether new flows should avoid the target.
+// suspect reports whether new flows should avoid the target.
 func (l *load) suspect(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.health.suspect(now)
 }
 
-// distrusted tells whether the target took no flows when last tried.
-func (l *load) distrusted() bool {
+// unheardSinceAvoided reports whether the target accepted no flows when it was last tried.
+func (l *load) unheardSinceAvoided() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.health.distrusted()
+	return l.health.unheardSinceAvoided()
 }
 
-// dark tells whether the target is gone or out of reach; alone is set if no other
+// unreachable reports whether the target is gone or unreachable; alone is set if no other
 // VM of the data centre is heard.
-func (l *load) dark(now time.Time, alone bool) bool {
+func (l *load) unreachable(now time.Time, alone bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.health.dark(now, alone)
+	return l.health.unreachable(now, alone)
 }
 
-// heardAt returns when the target was last heard of here, and by other VMs of
-// the data centre as far as they say.
-func (l *load) heardAt() (here, elsewhere time.Time) {
+// lastHeard returns when the target was last heard from by this VM, and by other VMs of the
+// data centre according to their reports.
+func (l *load) lastHeard() (here, elsewhere time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.health.heardAt, l.health.othersHeardAt
 }
 
-// setSilence sets what other VMs say of the silence of the target, and tells
-// whether it was avoided until now.
-func (l *load) setSilence(said baobabstep.TargetLoad) (again bool) {
+// setSilence sets other VMs' reports on the silence of the target, and reports whether that
+// ended an avoidance.
+func (l *load) setSilence(report baobabstep.TargetLoad) (resumed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
-	return l.health.setSilence(said)
+	return l.health.setSilence(report)
 }
 
-// avoid keeps new flows away from the target if it takes none, and tells whether
-// that begins.
-func (l *load) avoid(now time.Time, vms int, draw float64) bool {
+// startAvoidance starts an avoidance if the target accepts no flows, and reports whether it
+// did.
+func (l *load) startAvoidance(now time.Time, vms int, draw float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
-	return l.health.avoid(now, vms, draw)
+	return l.health.startAvoidance(now, vms, draw)
 }
 
-// toldSilence returns what other VMs are told of the silence of the target, while
-// it is fresh, and when it was heard of if they say that it is silent.
-func (l *load) toldSilence(now time.Time) baobabstep.TargetLoad {
+// silenceReport returns what to report to other VMs of the silence of the target: the
+// evidence while it is fresh, and when the target was last heard from if other VMs report
+// it as silent.
+func (l *load) silenceReport(now time.Time) baobabstep.TargetLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := &l.health
-	told := baobabstep.TargetLoad{HeardAt: h.heardAt, Disputed: len(h.reports) > 0 || h.lately(now)}
-	if now.Sub(h.leftAt) < freshFor {
-		told.Unanswered, told.Opens, told.Vanished, told.LeftAt = h.unanswered, h.opens, h.vanished, h.leftAt
+	report := baobabstep.TargetLoad{HeardAt: h.heardAt, Disputed: len(h.reports) > 0 || h.recentlyAvoided(now)}
+	if now.Sub(h.unansweredAt) < evidenceLifetime {
+		report.Unanswered, report.Opens, report.Vanished, report.LeftAt = h.unanswered, h.opens, h.vanished, h.unansweredAt
 	}
-	return told
+	return report
 }
 
-// meter counts events, each with a weight that fades over loadWindow.
-type meter struct {
+// decayingCounter counts events with weights that decay exponentially with loadWindow.
+type decayingCounter struct {
 	value float64
 	at    time.Time
 }
 
-func (m *meter) read(now time.Time) float64 {
-	if m.value == 0 {
-		return 0 // most targets of a large fleet
+func (c *decayingCounter) read(now time.Time) float64 {
+	if c.value == 0 {
+		return 0 // true of most targets in a large fleet
 	}
-	return m.value * fade.Left(now.Sub(m.at), loadWindow)
+	return c.value * fade.Left(now.Sub(c.at), loadWindow)
 }
 
-func (m *meter) add(now time.Time, n float64) {
-	m.value = m.read(now) + n
-	m.at = now
+func (c *decayingCounter) add(now time.Time, n float64) {
+	c.value = c.read(now) + n
+	c.at = now
 }
 
-// placed counts the first request of a new flow. Another one may go to a target
-// on trial after trialGap.
-func (l *load) placed(now time.Time, trialGap time.Duration) {
+// countNewFlow counts the first request of a new flow. A target on trial may get its next
+// flow after trialInterval.
+func (l *load) countNewFlow(now time.Time, trialInterval time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
-	l.recent.add(now, 1)
-	l.health.tried(now)
-	l.nextTrial = now.Add(trialGap)
+	l.ownRequests.add(now, 1)
+	l.health.noteTrial(now)
+	l.nextTrial = now.Add(trialInterval)
 }
 
-// started counts a request on an established flow.
-func (l *load) started(now time.Time) {
+// countRequest counts a request on an established flow.
+func (l *load) countRequest(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
-	l.recent.add(now, 1)
+	l.ownRequests.add(now, 1)
 }
 
-// requests returns the recent requests of this VM and of all others.
+// requests returns the recent requests of this VM, and of all VMs.
 func (l *load) requests(now time.Time) (own, all float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own = l.recent.read(now)
-	return own, own + l.others
+	own = l.ownRequests.read(now)
+	return own, own + l.otherRequests
 }
 
-// setOthers sets what other VMs say of the target, and tells whether it was avoided
-// until now.
-func (l *load) setOthers(said baobabstep.TargetLoad) (again bool) {
+// setReport sets what other VMs report of the target, and reports whether that ended an
+// avoidance.
+func (l *load) setReport(report baobabstep.TargetLoad) (resumed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(said.Silence) > 0 {
+	if len(report.Silence) > 0 {
 		l.markActive()
 	}
-	l.others = said.Requests
-	l.othersAnswers = answer.Sample{Answers: said.Answers, Failed: said.Failed, Took: said.Took}
-	l.othersCallers = answer.Callers(said.Callers)
-	return l.health.setSilence(said)
+	l.otherRequests = report.Requests
+	l.otherAnswers = answer.Sample{Answers: report.Answers, Failed: report.Failed, Took: report.Took}
+	l.otherCallers = answer.Callers(report.Callers)
+	return l.health.setSilence(report)
 }
 
-// unanswered returns the numbers of flows in a row that were left unanswered,
-// and of those that were from their first segment on.
-func (l *load) unanswered() (flows, opens int) {
+// unansweredCounts returns the number of consecutive flows that were left unanswered, and
+// how many of these left a first segment unanswered.
+func (l *load) unansweredCounts() (flows, opens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.health.unanswered, l.health.opens
 }
 
-// evidence returns what stands against the target here and by the word of other
-// VMs, and how long ago it was heard of; negative if never.
+// evidence returns the counts of unanswered flows and first segments seen here and of
+// unanswered flows reported by other VMs, and the time since the target was last heard
+// from, negative if it never was.
 func (l *load) evidence(now time.Time) (unanswered, opens, others int, heard time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -295,15 +299,14 @@
 	if !l.health.heardAt.IsZero() {
 		heard = now.Sub(l.health.heardAt)
 	}
-	return l.health.unanswered, l.health.opens, l.health.others(now).unanswered, heard
+	return l.health.unanswered, l.health.opens, l.health.summariseReports(now).unanswered, heard
 }
 
-// begin gives a target that has just appeared the load that others have. With
-// none it would get every new flow of every VM until it had caught up, many
-// times what it can run.
-func (l *load) begin(now time.Time, own float64) {
+// setInitialRequests gives a new target the load that the others have. With no load it
+// would get every new flow of every VM until it had caught up, many times its capacity.
+func (l *load) setInitialRequests(now time.Time, own float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
-	l.recent = meter{value: own, at: now}
+	l.ownRequests = decayingCounter{value: own, at: now}
 }
--- a/core/token/mechanism.go
+++ b/core/token/mechanism.go
@@ -2,49 +2,49 @@
 
 import "baobabstep"
 
-// Mechanism is a part of the decisions that can be switched off, so that its
-// worth can be measured and an operator can do without it.
+// Mechanism is a part of the routing decisions that can be disabled, to measure its effect
+// or to operate without it.
 type Mechanism uint8
 
-// Mechanisms. The comment of each is its name in settings and experiments.
+// Mechanisms. The line comment of each is its name in settings and experiments.
 const (
-	// MechanismOtherLoads: what other VMs send to a target counts as load.
+	// MechanismOtherLoads: requests of other VMs to a target count as its load.
 	MechanismOtherLoads Mechanism = iota // other_loads
-	// MechanismOwnLoads: a VM that sends enough takes others for VMs like itself.
+	// MechanismOwnLoads: a VM that sends many requests itself extrapolates the load from
+	// them.
 	MechanismOwnLoads // own_loads
-	// MechanismTimes: a target that takes longer counts as busier.
+	// MechanismTimes: a target with longer service times counts as busier.
 	MechanismTimes // times
-	// MechanismCold: a target that has just started counts as slower, by as much as
-	// such targets of its service were.
+	// MechanismCold: a target that has just started counts as slower, by the factor
+	// measured at cold targets of its service.
 	MechanismCold // cold
-	// MechanismNear: targets of the own data centre are preferred.
+	// MechanismNear: targets of the VM's own data centre are preferred.
 	MechanismNear // near
-	// MechanismFew: the best of a few targets is chosen, not of all.
+	// MechanismFew: the best of a few candidates is chosen instead of the best of all.
 	MechanismFew // few
-	// MechanismNextTry: a caller's next try goes to another target.
+	// MechanismNextTry: the next try of a caller goes to another target.
 	MechanismNextTry // next_try
-	// MechanismBeginLoad: a new target begins with the load of the others.
+	// MechanismBeginLoad: a new target starts with the mean load of the others.
 	MechanismBeginLoad // begin_load
-	// MechanismSilence: targets that leave flows unanswered get no new ones.
+	// MechanismSilence: targets that leave flows unanswered get no new flows.
 	MechanismSilence // silence
-	// MechanismEndFlows: the flows of targets that are out of reach are ended.
+	// MechanismEndFlows: the flows of unreachable targets are reset.
 	MechanismEndFlows // end_flows
-	// MechanismWitnesses: what other VMs say of silent targets counts.
+	// MechanismWitnesses: reports of other VMs on silent targets count as evidence.
 	MechanismWitnesses // witnesses
-	// MechanismAnswers: targets that fail more than their peers get fewer flows.
+	// MechanismAnswers: targets that fail more requests than their peers get fewer flows.
 	MechanismAnswers // answers
-	// MechanismSharedAnswers: what other VMs see of a target's answers counts.
+	// MechanismSharedAnswers: reports of other VMs on a target's answers count.
 	MechanismSharedAnswers // shared_answers
-	// MechanismTrials: a target that failed is tried before it is trusted.
+	// MechanismTrials: a target that failed passes a trial before it is trusted.
 	MechanismTrials // trials
 	// MechanismAdmission: ordinary flows are refused where answers come too late.
 	MechanismAdmission // admission
-	// MechanismAlarms: what a VM finds silent is told at once.
+	// MechanismAlarms: targets that a VM finds silent are reported at once.
 	MechanismAlarms // alarms
-	// MechanismAvoidance: a target that takes no flows is tried by one VM at a time.
+	// MechanismAvoidance: a target that accepts no flows is retried by one VM at a time.
 	MechanismAvoidance // avoidance
-	// MechanismColdLimits: all VMs together send a cold target no more new flows
-	// than it bears.
+	// MechanismColdLimits: the new flows of all VMs to a cold target are limited.
 	MechanismColdLimits // cold_limits
 	numMechanisms
 )
@@ -52,14 +52,14 @@
 // Mechanisms is a set of mechanisms.
 type Mechanisms uint32
 
-// With returns the set with one more.
+// With returns the set with m added.
 func (s Mechanisms) With(m Mechanism) Mechanisms { return s | 1<<m }
 
-// Has tells whether a mechanism is in the set.
+// Has reports whether m is in the set.
 func (s Mechanisms) Has(m Mechanism) bool { return s&(1<<m) != 0 }
 
-// ParseMechanisms returns the set of mechanisms with the given names. Errors:
-// CodeInvalid.
+// ParseMechanisms returns the set of mechanisms with the given names. An unknown name gives
+// an error with CodeInvalid.
 func ParseMechanisms(names []string) (set Mechanisms, err error) {
 	for _, name := range names {
 		m, err := parseMechanism(name)
@@ -80,5 +80,5 @@
 	return 0, baobabstep.Errorf(baobabstep.CodeInvalid, "token.mechanism", "got %q, want a mechanism such as %v", name, MechanismTimes)
 }
 
-// on tells whether a mechanism is in use.
-func (r *Router) on(m Mechanism) bool { return !r.o.Without.Has(m) }
+// enabled reports whether a mechanism is in use.
+func (r *Router) enabled(m Mechanism) bool { return !r.options.Without.Has(m) }
--- a/core/token/retry.go
+++ b/core/token/retry.go
@@ -6,36 +6,35 @@
 	"time"
 )
 
-// retryWithin is how soon after a first segment another one of the same caller
+// retryWithin is how soon after a first segment another first segment of the same caller
 // may be its next try.
 const retryWithin = 100 * time.Millisecond
 
-// openings remembers the last flow that each caller is opening. A target whose
-// process has died may refuse flows at once, and the caller, who hears it
-// directly, tries again within milliseconds; the VM sees the next try only. Not
-// to choose the same target twice in a row costs nothing where the two flows
-// have nothing to do with each other.
-type openings struct {
+// openingFlows holds the last flow that each caller is opening. A target whose process has
+// died may refuse flows at once. The caller receives the refusal directly and retries
+// within milliseconds; the VM sees only the next try. Avoiding the same target twice in a
+// row does no harm if the two flows are unrelated.
+type openingFlows struct {
 	mu   sync.Mutex
-	last map[netip.Addr]opening
+	last map[netip.Addr]openAttempt
 }
 
-type opening struct {
+type openAttempt struct {
 	flow *flow
 	at   time.Time
 }
 
-func newOpenings() *openings { return &openings{last: make(map[netip.Addr]opening)} }
+func newOpeningFlows() *openingFlows { return &openingFlows{last: make(map[netip.Addr]openAttempt)} }
 
-// begin notes that a caller opens a flow.
-func (o *openings) begin(now time.Time, caller netip.Addr, f *flow) {
+// add records that a caller opens a flow.
+func (o *openingFlows) add(now time.Time, caller netip.Addr, f *flow) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.last[caller] = opening{flow: f, at: now}
+	o.last[caller] = openAttempt{flow: f, at: now}
 }
 
-// done notes that a flow is open.
-func (o *openings) done(caller netip.Addr, f *flow) {
+// remove forgets a flow that has been accepted.
+func (o *openingFlows) remove(caller netip.Addr, f *flow) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.last[caller].flow == f {
@@ -43,8 +42,8 @@
 	}
 }
 
-// tried returns the target that a caller's new flow should not go to, or nil.
-func (o *openings) tried(now time.Time, caller netip.Addr) *target {
+// lastTried returns the target that a caller's new flow should not go to, or nil.
+func (o *openingFlows) lastTried(now time.Time, caller netip.Addr) *target {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	last, ok := o.last[caller]
@@ -54,8 +53,8 @@
 	return last.flow.target
 }
 
-// expire forgets what is too old to matter.
-func (o *openings) expire(now time.Time) {
+// expire drops entries older than the retry window.
+func (o *openingFlows) expire(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for caller, last := range o.last {
--- a/core/token/router_test.go
+++ b/core/token/router_test.go
@@ -25,11 +25,11 @@
 		}},
 		{"its registration lapses", func(r *Router, now time.Time) { r.SetRegistrations(now, nil) }},
 		{"its address is routed to another service", func(r *Router, now time.Time) {
-			r.SetTable(now, table(2, rule1(fixtures, "results")))
+			r.SetTable(now, table(2, singleRule(fixtures, "results")))
 		}},
-		{"twice to another service", func(r *Router, now time.Time) {
-			r.SetTable(now, table(2, rule1(fixtures, "results")))
-			r.SetTable(now, table(3, rule1(fixtures, "other")))
+		{"its address is routed to another service twice", func(r *Router, now time.Time) {
+			r.SetTable(now, table(2, singleRule(fixtures, "results")))
+			r.SetTable(now, table(3, singleRule(fixtures, "other")))
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -42,15 +42,15 @@
 	}
 }
 
-// A VM is killed and starts again, or another VM gets the packet: the caller
-// sees nothing. The new VM has no record of the flow; the token is enough.
+// Guards against flows that break when a VM restarts or when packets reach another VM. That
+// VM has no record of the flow; the token is sufficient.
 func TestAnyVMServesAnyFlow(t *testing.T) {
 	key := flowFrom(1, fixtures)
 	target, token := open(t, newRouter(t), start, key)
 	assertPassed(t, newRouter(t), start, data(key, token), target)
 }
 
-func TestCopyOfFirstPacketGoesTheSameWay(t *testing.T) {
+func TestCopyOfFirstPacketGoesToSameTarget(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, fixtures)
 	target, _ := open(t, r, start, key)
@@ -61,10 +61,10 @@
 	qt.Assert(t, r.Stats().Events[EventPlaced.String()], qt.Equals, uint64(1))
 }
 
-// A caller writes a token of its own choosing, or repeats one that it got on
-// another flow: it must reach no target of a service that its address was not
-// routed to, and no target that was not chosen for this flow.
-func TestTokenOfAnotherFlowLeadsNowhere(t *testing.T) {
+// Guards against callers that send a made-up token, or the token of another flow: it must
+// reach no target of a service that the address was not routed to, and no target that was
+// not chosen for this flow.
+func TestTokenOfAnotherFlowIsDropped(t *testing.T) {
 	r := newRouter(t)
 	_, token := open(t, r, start, flowFrom(1, results))
 	assertDropped(t, r, start, data(flowFrom(1, fixtures), token))
@@ -72,16 +72,16 @@
 	assertDropped(t, r, start, data(flowFrom(2, results), 0))
 }
 
-func TestServiceThatNeverWasRoutedIsOutOfReach(t *testing.T) {
+func TestTokenOfUnroutedServiceIsDropped(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, fixtures)
 	assertDropped(t, r, start, data(key, tokenFor(hashFlow(key), 3)))
 }
 
-// Two targets give the same token for a flow, one chance in 2^32: whichever
-// got the flow's packets, half of the time it would be the wrong one. The flow
-// is not placed, and the caller tries again from another port.
-func TestSharedTokenFindsNothing(t *testing.T) {
+// Guards against packets at the wrong target when two targets have the same token for a
+// flow, which has a chance of 1 in 2^32. The flow is not placed, and the caller retries
+// from another port.
+func TestCollidingTokenFindsNoTarget(t *testing.T) {
 	h := hashFlow(flowFrom(1, fixtures))
 	p := &pool{targets: []*target{{id: 5}, {id: 5}}}
 	qt.Assert(t, p.find(h, tokenFor(h, 5)), qt.IsNil)
@@ -95,23 +95,23 @@
 		r := newRouter(t)
 		key := flowFrom(1, fixtures)
 		_, token := open(t, r, start, key)
-		r.SetTable(start, table(2, rule1(results, "results")))
+		r.SetTable(start, table(2, singleRule(results, "results")))
 		assertReset(t, r, start, data(key, token))
 	})
 	t.Run("a reset is never answered", func(t *testing.T) {
 		assertDropped(t, newRouter(t), start, baobabstep.Segment{Kind: baobabstep.KindReset, Flow: flowFrom(1, unrouted)})
 	})
-	t.Run("nothing is said before the routes are known", func(t *testing.T) {
+	t.Run("packets are dropped before the routes are known", func(t *testing.T) {
 		r := New(Options{Rand: rand.New(rand.NewPCG(1, 1))})
 		assertDropped(t, r, start, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
 	})
 }
 
-// A reading that was on its way while a newer table arrived must not bring the
-// older one back: callers would be refused a route that they have used.
-func TestVersionNeverGoesBack(t *testing.T) {
+// Guards against an older table that replaces a newer one because its read took longer:
+// callers would be refused on a route that they have already used.
+func TestVersionNeverDecreases(t *testing.T) {
 	r := newRouter(t)
-	qt.Assert(t, r.SetTable(start, table(7, rule1(fixtures, "fixtures"))), qt.IsTrue)
+	qt.Assert(t, r.SetTable(start, table(7, singleRule(fixtures, "fixtures"))), qt.IsTrue)
 	for _, old := range []uint64{1, 6, 7} {
 		qt.Assert(t, r.SetTable(start, table(old)), qt.IsFalse)
 		qt.Assert(t, r.Version(), qt.Equals, uint64(7))
@@ -119,13 +119,13 @@
 	open(t, r, start, flowFrom(1, fixtures))
 }
 
-func TestNewFlowsAvoid(t *testing.T) {
+func TestNewFlowsAvoidUnavailableTargets(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(list []baobabstep.Registration) []baobabstep.Registration
 	}{
 		{"a target that drains", func(l []baobabstep.Registration) []baobabstep.Registration { l[0].Draining = true; return l }},
-		{"a target that has gone", func(l []baobabstep.Registration) []baobabstep.Registration { return l[1:] }},
+		{"a target that is gone", func(l []baobabstep.Registration) []baobabstep.Registration { return l[1:] }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRouter(t)
@@ -136,17 +136,17 @@
 			}
 		})
 	}
-	t.Run("all targets: reset at once", func(t *testing.T) {
+	t.Run("no target is left: reset at once", func(t *testing.T) {
 		r := newRouter(t)
 		r.SetRegistrations(start, nil)
 		assertReset(t, r, start, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
 	})
 }
 
-// The store was away for longer than registrations last. When it is back most
-// targets are missing from it, until they have written again; they were alive all
-// the time, and callers were refused for a second and more.
-func TestRegistrationsThatLapsedWithTheStore(t *testing.T) {
+// Guards against refused callers after a store outage that lasted longer than registrations
+// do. Until they are renewed, the registrations of most targets are missing from the store
+// although the targets are alive; callers were refused for a second and more.
+func TestRegistrationsLapsedDuringStoreOutage(t *testing.T) {
 	back := start.Add(10 * time.Second)
 	lapsed := func(t *testing.T) *Router {
 		r := newRouter(t)
@@ -154,20 +154,20 @@
 		r.SetRegistrations(back, nil)
 		return r
 	}
-	t.Run("still get new flows", func(t *testing.T) {
+	t.Run("targets get new flows during the grace period", func(t *testing.T) {
 		open(t, lapsed(t), back.Add(LapseGrace-1), flowFrom(1, fixtures))
 	})
-	t.Run("but not past the grace", func(t *testing.T) {
+	t.Run("not after the grace period", func(t *testing.T) {
 		assertReset(t, lapsed(t), back.Add(LapseGrace), baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
 	})
-	t.Run("and none that goes later", func(t *testing.T) {
+	t.Run("not a target that goes missing later", func(t *testing.T) {
 		r := newRouter(t)
 		r.StoreBack(back)
 		later := back.Add(LapseGrace)
 		r.SetRegistrations(later, nil)
 		assertReset(t, r, later, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
 	})
-	t.Run("and none that drains", func(t *testing.T) {
+	t.Run("not a target that drains", func(t *testing.T) {
 		r := newRouter(t)
 		list := threeTargets()
 		list[0].Draining, list[1].Draining = true, true
@@ -178,47 +178,47 @@
 	})
 }
 
-// Guards against flows to a target that leaves, because a restored store lost its word.
-func TestLeavingTargetStaysLeavingOverARestore(t *testing.T) {
+// Guards against new flows to a draining target because a restored store lacks its drain.
+func TestDrainingTargetStaysDrainingAfterRestore(t *testing.T) {
 	back := start.Add(10 * time.Second)
-	restored := func(t *testing.T, forget func(r *Router, leaving []baobabstep.Registration)) *Router {
+	restored := func(t *testing.T, change func(r *Router, leaving []baobabstep.Registration)) *Router {
 		r := newRouter(t)
 		list := threeTargets()
 		list[0].Draining, list[1].Draining = true, true
 		r.SetRegistrations(start, list)
-		forget(r, list)
+		change(r, list)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, threeTargets())
 		return r
 	}
-	lostWord := func(*Router, []baobabstep.Registration) {}
+	noChange := func(*Router, []baobabstep.Registration) {}
 	gone := func(r *Router, list []baobabstep.Registration) { r.SetRegistrations(start, list[2:]) }
 	segment := baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)}
-	t.Run("that lost its word", func(t *testing.T) {
-		assertReset(t, restored(t, lostWord), back.Add(LapseGrace-1), segment)
+	t.Run("the restored store lacks the drain", func(t *testing.T) {
+		assertReset(t, restored(t, noChange), back.Add(LapseGrace-1), segment)
 	})
-	t.Run("that brings it back though it had gone", func(t *testing.T) {
+	t.Run("the restored store has a target that was gone", func(t *testing.T) {
 		assertReset(t, restored(t, gone), back.Add(LapseGrace-1), segment)
 	})
-	t.Run("whatever else the target writes meanwhile", func(t *testing.T) {
-		r := restored(t, lostWord)
+	t.Run("other registration changes do not end the drain", func(t *testing.T) {
+		r := restored(t, noChange)
 		for _, list := range [][]baobabstep.Registration{threeTargets()[:1], threeTargets()[1:2]} {
 			list[0].ColdFor = time.Second
 			r.ChangeRegistrations(back.Add(time.Second), list, nil)
 		}
 		assertReset(t, r, back.Add(LapseGrace-1), segment)
 	})
-	t.Run("but not past the grace", func(t *testing.T) {
-		open(t, restored(t, lostWord), back.Add(LapseGrace), segment.Flow)
+	t.Run("not after the grace period", func(t *testing.T) {
+		open(t, restored(t, noChange), back.Add(LapseGrace), segment.Flow)
 	})
-	t.Run("and not another run", func(t *testing.T) {
-		r := restored(t, lostWord)
+	t.Run("not for another run", func(t *testing.T) {
+		r := restored(t, noChange)
 		again := threeTargets()[:1]
 		again[0].Life = 7
 		r.ChangeRegistrations(back, again, nil)
 		open(t, r, back, segment.Flow)
 	})
-	t.Run("and not while the store is well, or only was away", func(t *testing.T) {
+	t.Run("not without a restore", func(t *testing.T) {
 		r := newRouter(t)
 		list := threeTargets()
 		list[0].Draining, list[1].Draining = true, true
@@ -229,9 +229,9 @@
 	})
 }
 
-// Guards against a flood of a cold target, and flows to one that is gone, because a
-// restored store tells of runs that have ended.
-func TestEndedRunStaysEndedOverARestore(t *testing.T) {
+// Guards against overloading a cold target, and against flows to one that is gone, because
+// a restored store holds registrations of runs that have ended.
+func TestStaleRunIsIgnoredAfterRestore(t *testing.T) {
 	back := start.Add(10 * time.Second)
 	cold := registration(1, "fixtures", "a")
 	cold.Life, cold.ColdFor = 200, 20*time.Second
@@ -242,7 +242,7 @@
 		r.SetRegistrations(start, list)
 		return r
 	}
-	t.Run("a former run takes nothing from the present one", func(t *testing.T) {
+	t.Run("an earlier run is ignored", func(t *testing.T) {
 		r := known(t, cold)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, []baobabstep.Registration{warm})
@@ -250,19 +250,19 @@
 		qt.Assert(t, held.registration.Life, qt.Equals, cold.Life)
 		qt.Assert(t, held.isCold(back), qt.IsTrue)
 	})
-	t.Run("a later run does", func(t *testing.T) {
+	t.Run("a later run is accepted", func(t *testing.T) {
 		r := known(t, warm)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, []baobabstep.Registration{cold})
 		qt.Assert(t, r.current.Load().targets[1].registration.Life, qt.Equals, cold.Life)
 	})
-	t.Run("and so does a former one while the store is well", func(t *testing.T) {
+	t.Run("an earlier run is accepted without a restore", func(t *testing.T) {
 		r := known(t, cold)
 		r.SetRegistrations(back, []baobabstep.Registration{warm})
 		qt.Assert(t, r.current.Load().targets[1].registration.Life, qt.Equals, warm.Life)
 	})
 	segment := baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)}
-	t.Run("a target that had gone gets no flow", func(t *testing.T) {
+	t.Run("a target that was gone gets no flow", func(t *testing.T) {
 		r := known(t, warm)
 		r.SetRegistrations(start.Add(time.Second), nil)
 		r.StoreRestored(back)
@@ -270,7 +270,7 @@
 		assertReset(t, r, back.Add(LapseGrace-1), segment)
 		open(t, r, back.Add(LapseGrace), segment.Flow)
 	})
-	t.Run("one that lapsed with the store does once it is back", func(t *testing.T) {
+	t.Run("a target that lapsed during the outage gets flows once it is registered", func(t *testing.T) {
 		r := known(t, warm)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, nil)
@@ -293,8 +293,9 @@
 	qt.Assert(t, toResults > 150 && toResults < 250, qt.IsTrue, qt.Commentf("%d of 2000", toResults))
 }
 
-// The load of a target follows the flows that callers open and close; a closed
-// flow whose last acknowledgements still arrive must not count again.
+// Guards against a wrong count of open flows: it must follow the flows that callers open
+// and close, and a closed flow whose last acknowledgements still arrive must not count
+// again.
 func TestLoadFollowsFlows(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, results)
@@ -307,11 +308,11 @@
 	qt.Assert(t, load(), qt.Equals, int32(0))
 	handle(r, start, data(key, token))
 	qt.Assert(t, load(), qt.Equals, int32(0))
-	r.Tick(start.Add(closedFor), new([]baobabstep.Forward))
+	r.Tick(start.Add(closedRetention), new([]baobabstep.Forward))
 	qt.Assert(t, r.Stats().Flows, qt.Equals, 0)
 
 	open(t, r, start, flowFrom(2, results))
-	r.Tick(start.Add(r.o.Idle), new([]baobabstep.Forward))
+	r.Tick(start.Add(r.options.Idle), new([]baobabstep.Forward))
 	qt.Assert(t, load(), qt.Equals, int32(0))
 }
 
