--- a/core/token/snapshot.go
+++ b/core/token/snapshot.go
@@ -11,77 +11,77 @@
 	"baobabstep/core/answer"
 )
 
-// snapshot is the routes and targets that one decision uses. It is immutable.
+// snapshot holds the routes and targets that a decision uses. It is immutable.
 type snapshot struct {
 	version                uint64
-	idle                   time.Duration
+	idleTimeout            time.Duration
 	rules                  map[netip.AddrPort]*rule
 	pools                  map[string]*pool
 	targets                map[baobabstep.TargetID]*target
 	haveTable, haveTargets bool
-	// keep is how long flows may last, and beginLoads whether new targets begin
-	// with the load of those that are there; they never change.
-	keep       time.Duration
-	beginLoads bool
-	services   *services
-	// active are the targets that may have something to report to other VMs; all
-	// snapshots of a router share the set.
+	// maxFlowDuration is how long flows may last, and inheritLoads whether new targets
+	// start with the mean load of the existing ones; neither ever changes.
+	maxFlowDuration time.Duration
+	inheritLoads    bool
+	services        *serviceRegistry
+	// active are the targets that may have something to report to other VMs; all snapshots
+	// of a router share the set.
 	active *targetSet
-	// appeared are the targets that Router.Appeared returns next; the pointer never
-	// changes.
-	appeared *targetSet
-	// evacuated names the data centres whose targets get no new flow.
+	// newTargets are the targets that Router.Appeared returns next; all snapshots of a
+	// router share the set.
+	newTargets *targetSet
+	// evacuated names the data centres whose targets get no new flows.
 	evacuated map[string]bool
-	// coldLimits are those of services that have one.
+	// coldLimits are the limits on cold targets, by service.
 	coldLimits map[string]*coldLimit
-	// spareUntil is until when registrations that go missing may be back.
-	spareUntil time.Time
-	// restoredAt is when the store came back from a backup, zero if it never did.
+	// lapseGraceUntil is the end of the grace period for registrations that go missing.
+	lapseGraceUntil time.Time
+	// restoredAt is when the store was last restored from a backup, zero if never.
 	restoredAt time.Time
 }
 
-// ready tells whether both a routing table and targets are known.
+// ready reports whether both a routing table and targets are known.
 func (s *snapshot) ready() bool { return s.haveTable && s.haveTargets }
 
-// rule is one service address.
+// rule is the routing of one service address.
 type rule struct {
 	name       string
 	repeatable bool
-	// ordinary rules may be refused new flows where there is no room; aim is the
-	// time within which their callers want answers.
+	// ordinary rules may have new flows refused under overload; aim is the time within
+	// which their callers need answers.
 	ordinary bool
 	aim      time.Duration
-	// sizes are those of the answers to the rule's requests.
-	sizes  *answer.Sizes
-	shares []baobabstep.Share
-	total  uint32
-	// services are those that flows of the address may be at: the present
-	// ones, and former ones until the time given.
+	// answerSizes learns the usual sizes of the answers to the rule's requests.
+	answerSizes *answer.Sizes
+	shares      []baobabstep.Share
+	totalWeight uint32
+	// services are the services at which flows of the address may be, with the time until
+	// which they may: noExpiry for present services, a time for former ones.
 	services map[string]time.Time
 }
 
-// always is the time until which a present service of a rule may have flows.
-var always = time.Time{}
+// noExpiry marks a service that the rule routes to at present.
+var noExpiry = time.Time{}
 
 func newSnapshot(o *Options) *snapshot {
 	return &snapshot{
-		keep: o.FlowMax, services: newServices(), active: new(targetSet), appeared: new(targetSet), beginLoads: !o.Without.Has(MechanismBeginLoad),
+		maxFlowDuration: o.FlowMax, services: newServiceRegistry(), active: new(targetSet), newTargets: new(targetSet), inheritLoads: !o.Without.Has(MechanismBeginLoad),
 		rules:   map[netip.AddrPort]*rule{},
 		pools:   map[string]*pool{},
 		targets: map[baobabstep.TargetID]*target{},
 	}
 }
 
-// withTable returns a copy of s with another routing table. Flows that were
-// opened under a former rule of an address may go on for s.keep.
+// withTable returns a copy of s with another routing table. Flows that were opened under a
+// former rule of an address may continue for s.maxFlowDuration.
 func (s *snapshot) withTable(now time.Time, table *baobabstep.RoutingTable) *snapshot {
 	next := *s
-	next.version, next.idle, next.haveTable = table.Version, table.IdleTimeout, true
+	next.version, next.idleTimeout, next.haveTable = table.Version, table.IdleTimeout, true
 	next.rules = make(map[netip.AddrPort]*rule, len(table.Rules))
-	least := leastUrgent(table)
+	least := lowestPriorities(table)
 	for i := range table.Rules {
 		r := newRule(&table.Rules[i])
-		r.inherit(now, s.rules[table.Rules[i].Address], s.keep)
+		r.inheritServices(now, s.rules[table.Rules[i].Address], s.maxFlowDuration)
 		r.ordinary = isOrdinary(&table.Rules[i], least)
 		next.rules[table.Rules[i].Address] = r
 	}
@@ -89,24 +89,24 @@
 }
 
 func newRule(from *baobabstep.Rule) *rule {
-	r := &rule{name: from.Name, repeatable: from.Repeatable, aim: from.Aim, sizes: new(answer.Sizes), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
+	r := &rule{name: from.Name, repeatable: from.Repeatable, aim: from.Aim, answerSizes: new(answer.Sizes), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
 	for _, share := range from.Shares {
-		r.total += share.Weight
-		r.services[share.Service] = always
+		r.totalWeight += share.Weight
+		r.services[share.Service] = noExpiry
 	}
 	return r
 }
 
-// inherit keeps the services of the rule's predecessor for as long as flows
-// that were opened under it may last.
-func (r *rule) inherit(now time.Time, old *rule, flowMax time.Duration) {
+// inheritServices adds the services of the previous rule for as long as flows opened under
+// it may last.
+func (r *rule) inheritServices(now time.Time, old *rule, maxFlowDuration time.Duration) {
 	if old == nil {
 		return
 	}
-	r.sizes = old.sizes
+	r.answerSizes = old.answerSizes
 	for service, until := range old.services {
-		if until.Equal(always) {
-			until = now.Add(flowMax)
+		if until.Equal(noExpiry) {
+			until = now.Add(maxFlowDuration)
 		}
 		if _, present := r.services[service]; !present && now.Before(until) {
 			r.services[service] = until
@@ -114,13 +114,13 @@
 	}
 }
 
-// service picks the service of a new flow by the shares' weights; draw is a
+// pickService draws the service of a new flow by the weights of the shares; draw is a
 // random number.
-func (r *rule) service(draw uint64) string {
-	if r.total == 0 {
+func (r *rule) pickService(draw uint64) string {
+	if r.totalWeight == 0 {
 		return r.shares[draw%uint64(len(r.shares))].Service
 	}
-	at := uint32(draw % uint64(r.total))
+	at := uint32(draw % uint64(r.totalWeight))
 	for _, share := range r.shares {
 		if at < share.Weight {
 			return share.Service
@@ -130,8 +130,8 @@
 	return r.shares[len(r.shares)-1].Service
 }
 
-// withEvacuations returns a copy of s in which the targets of just the given data
-// centres get no new flow.
+// withEvacuations returns a copy of s in which only the targets of the given data centres
+// are evacuated.
 func (s *snapshot) withEvacuations(dataCentres []string) *snapshot {
 	next := *s
 	next.evacuated = make(map[string]bool, len(dataCentres))
@@ -140,9 +140,9 @@
 	}
 	next.targets = make(map[baobabstep.TargetID]*target, len(s.targets))
 	for id, t := range s.targets {
-		if moved := next.evacuated[t.registration.DataCentre]; moved != t.evacuated {
+		if evacuated := next.evacuated[t.registration.DataCentre]; evacuated != t.evacuated {
 			changed := *t
-			changed.evacuated = moved
+			changed.evacuated = evacuated
 			t = &changed
 		}
 		next.targets[id] = t
@@ -151,48 +151,48 @@
 	return &next
 }
 
-// withRegistrations returns a copy of s in which the given registrations are
-// the ones that are there. Those that are there no more stay known for s.keep,
-// for the flows that they may still have.
+// withRegistrations returns a copy of s with exactly the given registrations. Targets that
+// are no longer registered are kept for s.maxFlowDuration, for the flows that they may
+// still have.
 func (s *snapshot) withRegistrations(now time.Time, list []baobabstep.Registration) *snapshot {
 	next := *s
 	next.haveTargets = true
 	next.targets = make(map[baobabstep.TargetID]*target, len(list))
 	for i := range list {
-		next.targets[list[i].ID] = s.registered(now, &list[i])
+		next.targets[list[i].ID] = s.applyRegistration(now, &list[i])
 	}
 	for id, old := range s.targets {
 		if next.targets[id] != nil {
 			continue
 		}
-		if gone := s.gone(now, old); now.Sub(gone.missingSince) < s.keep {
+		if gone := s.markMissing(now, old); now.Sub(gone.missingSince) < s.maxFlowDuration {
 			next.targets[id] = gone
 		}
 	}
 	next.pools = makePools(next.targets)
-	if s.beginLoads {
+	if s.inheritLoads {
 		for _, p := range next.pools {
-			p.beginLoads(now, s)
+			p.initNewLoads(now, s)
 		}
 	}
 	return &next
 }
 
-// withChanges returns what withRegistrations would, for registrations of which
-// only some have changed. The pools of other services are shared with s.
+// withChanges returns what withRegistrations would return if only some registrations
+// changed. Pools of unaffected services are shared with s.
 func (s *snapshot) withChanges(now time.Time, put []baobabstep.Registration, gone []baobabstep.TargetID) *snapshot {
 	next := *s
 	next.haveTargets = true
 	next.targets = maps.Clone(s.targets)
 	next.pools = maps.Clone(s.pools)
-	e := editor{next: &next, pools: make(map[string]*pool)}
+	e := snapshotEditor{next: &next, pools: make(map[string]*pool)}
 	for _, t := range s.targets {
-		if !t.missingSince.IsZero() && now.Sub(t.missingSince) >= s.keep {
+		if !t.missingSince.IsZero() && now.Sub(t.missingSince) >= s.maxFlowDuration {
 			e.remove(t)
 		}
 	}
 	for i := range put {
-		t := s.registered(now, &put[i])
+		t := s.applyRegistration(now, &put[i])
 		if old := next.targets[t.id]; old != nil && old.registration.Service != t.registration.Service {
 			e.remove(old)
 		}
@@ -200,29 +200,29 @@
 	}
 	for _, id := range gone {
 		if old := next.targets[id]; old != nil {
-			e.put(s.gone(now, old))
+			e.put(s.markMissing(now, old))
 		}
 	}
 	for service, p := range e.pools {
 		if len(p.targets) == 0 {
 			delete(next.pools, service)
 		}
-		if s.beginLoads {
-			p.beginLoads(now, s)
+		if s.inheritLoads {
+			p.initNewLoads(now, s)
 		}
 	}
 	return &next
 }
 
-// editor changes targets of a snapshot that is not in force yet.
-type editor struct {
+// snapshotEditor changes the targets of a snapshot that is not in force yet.
+type snapshotEditor struct {
 	next *snapshot
-	// pools are those that were copied, and may be changed.
+	// pools are the pools that were copied and may be modified.
 	pools map[string]*pool
 }
 
-// pool returns the pool of a service, to be changed.
-func (e *editor) pool(service string) *pool {
+// pool returns a modifiable pool of a service.
+func (e *snapshotEditor) pool(service string) *pool {
 	p := e.pools[service]
 	if p == nil {
 		p = new(pool)
@@ -234,8 +234,8 @@
 	return p
 }
 
-// put adds a target, in place of the one with its identifier.
-func (e *editor) put(t *target) {
+// put adds a target, or replaces the one with the same identifier.
+func (e *snapshotEditor) put(t *target) {
 	p := e.pool(t.registration.Service)
 	at, found := p.search(t.id)
 	if found {
@@ -246,7 +246,7 @@
 	e.next.targets[t.id] = t
 }
 
-func (e *editor) remove(t *target) {
+func (e *snapshotEditor) remove(t *target) {
 	p := e.pool(t.registration.Service)
 	if at, found := p.search(t.id); found {
 		p.targets = slices.Delete(p.targets, at, at+1)
@@ -254,25 +254,25 @@
 	delete(e.next.targets, t.id)
 }
 
-// gone returns a target whose registration is missing.
-func (s *snapshot) gone(now time.Time, t *target) *target {
-	gone := *t
-	if gone.missingSince.IsZero() {
-		gone.missingSince, gone.sparedUntil = now, s.spareUntil
+// markMissing returns a copy of a target whose registration is missing.
+func (s *snapshot) markMissing(now time.Time, t *target) *target {
+	missing := *t
+	if missing.missingSince.IsZero() {
+		missing.missingSince, missing.lapseGraceUntil = now, s.lapseGraceUntil
 	}
-	return &gone
+	return &missing
 }
 
-// beginLoads gives targets that the snapshot before did not know the mean load
-// of those that it knew.
-func (p *pool) beginLoads(now time.Time, before *snapshot) {
+// initNewLoads gives targets that are not in the previous snapshot the mean load of those
+// that are.
+func (p *pool) initNewLoads(now time.Time, before *snapshot) {
 	isNew := func(t *target) bool { return !t.sameRun(before.targets[t.id]) }
 	if !slices.ContainsFunc(p.targets, isNew) {
 		return
 	}
 	var known, sum float64
 	for _, t := range p.targets {
-		if !isNew(t) && t.choosable(now) {
+		if !isNew(t) && t.acceptsNewFlows(now) {
 			own, _ := t.load.requests(now)
 			known++
 			sum += own
@@ -283,60 +283,63 @@
 	}
 	for _, t := range p.targets {
 		if isNew(t) {
-			t.load.begin(now, sum/known)
+			t.load.setInitialRequests(now, sum/known)
 		}
 	}
 }
 
-// registered returns the target of a registration, with the load that an
-// earlier one of the same run had.
+// applyRegistration returns the target of a registration, with the load of an earlier
+// registration of the same run.
 //
-// While the store may lack what was written last, a run that started before the one
-// that is known has ended, and a target that was out before stays out.
+// During the grace period after a restore, a registration of an earlier run than the known
+// one is stale and ignored, and a target that was draining or gone before the restore still
+// gets no new flows.
 //
-// A run that says another service than before is not the target's own word: a
-// process serves one. Taken for true, the flows that it holds would find no
-// target any more, and new ones of the other service would be refused. So the
-// target stays what it was and gets no new flow.
-func (s *snapshot) registered(now time.Time, r *baobabstep.Registration) *target {
+// A registration that changes the service of a run cannot come from the target itself,
+// since a process serves one service. If it were applied, the target's flows would find no
+// target any more, and new flows of the other service would be refused. The target keeps
+// its service, counts as missing and gets no new flows.
+func (s *snapshot) applyRegistration(now time.Time, r *baobabstep.Registration) *target {
 	t := &target{
 		id: r.ID, registration: *r, load: newLoad(now, r.ID, s.active), service: s.services.get(r.Service),
 		coldUntil: now.Add(r.ColdFor), evacuated: s.evacuated[r.DataCentre],
 	}
 	old := s.targets[r.ID]
-	if old != nil && s.restoring(now) && r.Life < old.registration.Life {
+	if old != nil && s.inRestoreGrace(now) && r.Life < old.registration.Life {
 		return old
 	}
 	if !t.sameRun(old) {
-		s.appeared.add(t.id)
+		s.newTargets.add(t.id)
 		if old != nil {
-			t.load.verdict = old.load.judged()
+			t.load.verdict = old.load.currentVerdict()
 		}
 		return t
 	}
 	if r.Life != 0 && r.Service != old.registration.Service {
-		return s.gone(now, old)
+		return s.markMissing(now, old)
 	}
 	t.load = old.load
 	t.leavingUntil = old.leavingUntil
-	if s.restoring(now) && s.wasOut(old) && !r.Draining {
+	if s.inRestoreGrace(now) && s.wasUnavailable(old) && !r.Draining {
 		t.leavingUntil = s.restoredAt.Add(LapseGrace)
 	}
 	if *r == old.registration {
-		t.coldUntil = old.coldUntil // it says the same again, not that it stays cold for longer
+		t.coldUntil = old.coldUntil // a repeated registration does not extend the cold period
 	}
 	return t
 }
 
-// restoring tells whether the store came back from a backup so lately that it may lack
-// what targets wrote last.
-func (s *snapshot) restoring(now time.Time) bool { return now.Before(s.restoredAt.Add(LapseGrace)) }
+// inRestoreGrace reports whether the store was restored from a backup so recently that it
+// may lack the latest changes of targets.
+func (s *snapshot) inRestoreGrace(now time.Time) bool {
+	return now.Before(s.restoredAt.Add(LapseGrace))
+}
 
-// wasOut tells whether a target had said that it leaves, or was gone before the store
-// came back.
-func (s *snapshot) wasOut(t *target) bool {
-	gone := !t.missingSince.IsZero() && t.missingSince.Before(s.restoredAt)
-	return t.registration.Draining || gone
+// wasUnavailable reports whether a target was draining, or was gone before the store was
+// restored.
+func (s *snapshot) wasUnavailable(t *target) bool {
+	missing := !t.missingSince.IsZero() && t.missingSince.Before(s.restoredAt)
+	return t.registration.Draining || missing
 }
 
 func makePools(targets map[baobabstep.TargetID]*target) map[string]*pool {
@@ -361,7 +364,7 @@
 		return nil
 	}
 	for service, until := range r.services {
-		if !until.Equal(always) && !now.Before(until) {
+		if !until.Equal(noExpiry) && !now.Before(until) {
 			continue
 		}
 		p := s.pools[service]
--- a/core/token/snapshot_test.go
+++ b/core/token/snapshot_test.go
@@ -12,21 +12,21 @@
 	"baobabstep"
 )
 
-// describe writes down what a snapshot knows of targets, loads left out.
-func describe(s *snapshot) (lines []string) {
+// describeTargets returns a text form of the targets of a snapshot, without their loads.
+func describeTargets(s *snapshot) (lines []string) {
 	for _, service := range slices.Sorted(maps.Keys(s.pools)) {
 		for _, t := range s.pools[service].targets {
 			known := s.targets[t.id]
-			lines = append(lines, fmt.Sprint(service, t.id, t.registration, t.missingSince.Sub(start), t.sparedUntil.Sub(start), t.coldUntil.Sub(start), t.leavingUntil.Sub(start), known == t))
+			lines = append(lines, fmt.Sprint(service, t.id, t.registration, t.missingSince.Sub(start), t.lapseGraceUntil.Sub(start), t.coldUntil.Sub(start), t.leavingUntil.Sub(start), known == t))
 		}
 	}
 	return append(lines, fmt.Sprint(len(s.targets)))
 }
 
-// A registration that changes alone gives what all of them would, told anew:
-// over drains, moves to another service, lapses while the store is away, returns,
-// and the forgetting of what is long gone.
-func TestChangesGiveWhatAllRegistrationsWould(t *testing.T) {
+// Guards against a difference between applying single changes and setting all
+// registrations, over drains, moves to another service, lapses during store outages,
+// returns, and the removal of targets that are long gone.
+func TestChangesEqualFullRegistrations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, changed := New(Options{DataCentre: "a"}), New(Options{DataCentre: "a"})
 		there := map[baobabstep.TargetID]baobabstep.Registration{}
@@ -58,7 +58,7 @@
 			}
 			whole.SetRegistrations(now, slices.Collect(maps.Values(there)))
 			changed.ChangeRegistrations(now, put, gone)
-			want, got := describe(whole.current.Load()), describe(changed.current.Load())
+			want, got := describeTargets(whole.current.Load()), describeTargets(changed.current.Load())
 			if !slices.Equal(got, want) {
 				t.Fatalf("got %v, want %v", got, want)
 			}
--- a/core/token/stats.go
+++ b/core/token/stats.go
@@ -7,27 +7,28 @@
 )
 
 type counts struct {
-	passed atomic.Uint64
-	events [numEvents]atomic.Uint64
-	// outcomes are those of requests, by answer.Outcome.
+	forwarded atomic.Uint64
+	events    [numEvents]atomic.Uint64
+	// outcomes counts requests by answer.Outcome.
 	outcomes [answer.NumOutcomes]atomic.Uint64
 }
 
-// Stats counts decisions since the start, and what is held now.
+// Stats holds counts of decisions since the start, and present sizes.
 type Stats struct {
-	// Events counts each kind of event, by its name.
+	// Events counts events by the names of their kinds.
 	Events map[string]uint64
-	// Passed are later segments sent to the targets that their tokens name.
+	// Passed counts later segments sent to the targets that their tokens name.
 	Passed uint64
-	// Outcomes counts what became of requests, by the names of package answer.
+	// Outcomes counts requests by the names of their outcomes in package answer.
 	Outcomes map[string]uint64
-	// Flows are the records held.
+	// Flows is the number of flow records.
 	Flows int
-	// Version is the routing table's; Targets are those known, Silent those of
-	// them that get no new flows, and Failing those that get few.
+	// Version is that of the routing table in force. Targets counts the known targets,
+	// Silent those that get no new flows because they left flows unanswered, and Failing
+	// those that get few flows.
 	Version                  uint64
 	Targets, Silent, Failing int
-	// Evacuated are the data centres that get no new flow.
+	// Evacuated is the number of data centres that get no new flows.
 	Evacuated int
 }
 
@@ -35,7 +36,7 @@
 func (r *Router) Stats() Stats {
 	s := r.current.Load()
 	stats := Stats{
-		Events: make(map[string]uint64, numEvents), Outcomes: make(map[string]uint64, answer.NumOutcomes), Passed: r.counts.passed.Load(),
+		Events: make(map[string]uint64, numEvents), Outcomes: make(map[string]uint64, answer.NumOutcomes), Passed: r.counts.forwarded.Load(),
 		Flows: r.flows.count(), Version: s.version, Targets: len(s.targets), Evacuated: len(s.evacuated),
 	}
 	for kind := range numEvents {
@@ -45,10 +46,10 @@
 		stats.Outcomes[outcome.String()] = r.counts.outcomes[outcome].Load()
 	}
 	for _, t := range s.targets {
-		if t.load.judged().State != answer.Trusted {
+		if t.load.currentVerdict().State != answer.Trusted {
 			stats.Failing++
 		}
-		if flows, _ := t.load.unanswered(); flows >= suspectAt {
+		if flows, _ := t.load.unansweredCounts(); flows >= suspectThreshold {
 			stats.Silent++
 		}
 	}
--- a/core/token/targetset.go
+++ b/core/token/targetset.go
@@ -7,9 +7,9 @@
 	"baobabstep"
 )
 
-// targetSet collects targets for later processing, whose cost is then proportional to
-// the number of targets with events, not of all known targets. It is safe for
-// concurrent use; the zero value is an empty set.
+// targetSet collects targets for later processing, so that the cost is proportional to the
+// number of targets with events instead of all known targets. It is safe for concurrent
+// use; the zero value is an empty set.
 type targetSet struct {
 	mu  sync.Mutex
 	set map[baobabstep.TargetID]struct{}
--- a/core/token/targetset_test.go
+++ b/core/token/targetset_test.go
@@ -10,8 +10,9 @@
 	"baobabstep"
 )
 
-// Guards against loads of other VMs that are lost because they came before the target's registration.
-func TestTargetsThatAppeared(t *testing.T) {
+// Guards against reports of other VMs that are lost because they arrived before the
+// target's registration.
+func TestNewTargetsAreReportedOnce(t *testing.T) {
 	r := newRouter(t)
 	qt.Assert(t, r.Appeared(), qt.DeepEquals, []baobabstep.TargetID{1, 2, 3})
 	qt.Assert(t, r.Appeared(), qt.HasLen, 0)
@@ -21,7 +22,8 @@
 	qt.Assert(t, r.Appeared(), qt.DeepEquals, []baobabstep.TargetID{2, 4})
 }
 
-// Guards against a heartbeat without loads while another goroutine prepares one.
+// Guards against an empty heartbeat because another goroutine prepares one at the same
+// time.
 func TestLoadsFromTwoGoroutines(t *testing.T) {
 	r := newRouter(t)
 	open(t, r, start, flowFrom(1, fixtures))
--- a/core/token/token.go
+++ b/core/token/token.go
@@ -12,7 +12,7 @@
 // flowHash is the part of a token that depends on the flow.
 type flowHash uint64
 
-// hashFlow returns the hash of a flow's two ends.
+// hashFlow returns the hash of a flow's two addresses.
 func hashFlow(k baobabstep.FlowKey) flowHash {
 	var b [36]byte
 	caller, service := k.Caller.Addr().As16(), k.Service.Addr().As16()
@@ -23,11 +23,11 @@
 	return flowHash(xxhash.Sum64(b[:]))
 }
 
-// tokenFor returns the token of a flow at a target; it is never 0.
+// tokenFor returns the token of a flow at a target. It is never 0.
 //
-// Identifiers have 40 bits and more, tokens 32. A fixed token for each target
-// would make two of 26,000 collide with near certainty, for all their flows.
-// Mixed with the flow, a collision concerns one flow in 2^32 for each pair.
+// Target identifiers have at least 40 bits, tokens have 32. With one fixed token for each
+// target, two of 26,000 targets would almost certainly collide, for all their flows.
+// Because the flow is mixed in, two targets collide only for one flow in 2^32.
 func tokenFor(h flowHash, id baobabstep.TargetID) uint32 {
 	x := mix.Bits(uint64(h) ^ uint64(id)*0x9e3779b97f4a7c15)
 	return max(1, uint32(x>>32))
--- a/core/token/token_test.go
+++ b/core/token/token_test.go
@@ -9,9 +9,9 @@
 	"baobabstep"
 )
 
-// While a fleet is replaced, callers carry the tokens of one program to VMs of
-// another. A token that another program gives would lead their flows nowhere.
-func TestTokensStayTheSame(t *testing.T) {
+// Guards against tokens that depend on the program version. During a rolling upgrade,
+// callers carry tokens of one version to VMs of another, whose tokens must be the same.
+func TestTokensAreStable(t *testing.T) {
 	for _, test := range []struct {
 		flow flowHash
 		id   baobabstep.TargetID
--- a/core/token/trouble.go
+++ b/core/token/trouble.go
@@ -9,19 +9,20 @@
 	"baobabstep"
 )
 
-// troubles are the targets of which the other VMs of the data centre are to hear
-// at once: each VM sees few of their flows, and callers lose with each moment.
-type troubles struct {
+// urgentReportQueue holds the targets to report to the other VMs of the data centre at
+// once. Each VM sees only a few of a target's flows, and callers lose time with every
+// delay.
+type urgentReportQueue struct {
 	targetSet
 	// pending holds a value while the set is not empty.
 	pending chan struct{}
 }
 
-func newTroubles() *troubles {
-	return &troubles{pending: make(chan struct{}, 1)}
+func newUrgentReportQueue() *urgentReportQueue {
+	return &urgentReportQueue{pending: make(chan struct{}, 1)}
 }
 
-func (t *troubles) add(id baobabstep.TargetID) {
+func (t *urgentReportQueue) add(id baobabstep.TargetID) {
 	t.targetSet.add(id)
 	select {
 	case t.pending <- struct{}{}:
@@ -29,48 +30,48 @@
 	}
 }
 
-// Troubled yields a value when Troubles has something to tell.
-func (r *Router) Troubled() <-chan struct{} { return r.troubles.pending }
+// Troubled returns a channel that holds a value while Troubles has reports.
+func (r *Router) Troubled() <-chan struct{} { return r.urgentReports.pending }
 
-// Troubles returns what to tell of targets that left a flow unanswered, or were
-// heard of though others found them silent, since it was last asked.
+// Troubles returns reports on the targets that, since the last call, left a flow unanswered
+// or were heard from although other VMs report them as silent.
 func (r *Router) Troubles(now time.Time) (list []baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
-	for _, id := range r.troubles.take() {
-		if t := targets[id]; t != nil && r.on(MechanismAlarms) {
-			told := t.load.toldSilence(now)
-			told.Target = id
-			list = append(list, told)
+	for _, id := range r.urgentReports.take() {
+		if t := targets[id]; t != nil && r.enabled(MechanismAlarms) {
+			report := t.load.silenceReport(now)
+			report.Target = id
+			list = append(list, report)
 		}
 	}
 	return list
 }
 
-// SetSilence tells what other VMs say of the silence of some targets; all else that
-// they said stays.
-func (r *Router) SetSilence(now time.Time, said map[baobabstep.TargetID]baobabstep.TargetLoad) {
+// SetSilence sets other VMs' reports on the silence of some targets; their other reports
+// stay as they are.
+func (r *Router) SetSilence(now time.Time, reports map[baobabstep.TargetID]baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
-	for _, id := range slices.Sorted(maps.Keys(said)) { // in order: each draws
+	for _, id := range slices.Sorted(maps.Keys(reports)) { // sorted, because avoidIfRefusing draws a random number for each
 		if t := targets[id]; t != nil {
-			if t.load.setSilence(r.heeded(said[id])) {
-				r.heardAgain(now, t)
+			if t.load.setSilence(r.applicableReport(reports[id])) {
+				r.noteHeardAgain(now, t)
 			}
-			r.avoid(now, t)
+			r.avoidIfRefusing(now, t)
 		}
 	}
 }
 
-// heardAgain notes that another VM heard of a target that was avoided.
-func (r *Router) heardAgain(now time.Time, t *target) {
+// noteHeardAgain records that another VM heard from a target that was avoided.
+func (r *Router) noteHeardAgain(now time.Time, t *target) {
 	r.record(now, EventHeard, r.current.Load(), nil, t, nil)
 	r.presumeCold(now, t)
 }
 
-// avoid keeps new flows away from a target if it takes none, for a time that the
-// VMs of the data centre draw so that their trials are spread.
-func (r *Router) avoid(now time.Time, t *target) {
-	if r.on(MechanismAvoidance) {
-		if t.load.avoid(now, r.vms(), float64(r.draw())/math.MaxUint64) {
+// avoidIfRefusing starts an avoidance of a target that accepts no flows. Its duration is
+// drawn at random so that the trials of the VMs are spread.
+func (r *Router) avoidIfRefusing(now time.Time, t *target) {
+	if r.enabled(MechanismAvoidance) {
+		if t.load.startAvoidance(now, r.vmCount(), float64(r.randomUint64())/math.MaxUint64) {
 			r.record(now, EventAvoided, r.current.Load(), nil, t, nil)
 		}
 	}
