--- a/core/token/avoid_test.go
+++ b/core/token/avoid_test.go
@@ -113,7 +113,7 @@
 		l.health.reports = silenceReports(2, 1, now)
 		l.startAvoidance(now, 10, 0.5)
 		r.noteAnswer(later, r.current.Load().targets[1])
-		told := r.Troubles(later)
+		told := r.TakeUrgentReports(later)
 		qt.Assert(t, told, qt.HasLen, 1)
 		qt.Assert(t, told[0].HeardAt, qt.Equals, later)
 		qt.Assert(t, told[0].Disputed, qt.IsTrue)
--- a/core/token/choose_test.go
+++ b/core/token/choose_test.go
@@ -71,7 +71,7 @@
 		r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(uint64(vm), 2))})
 		r.SetTable(start, table(1, singleRule(fixtures, "fixtures")))
 		r.SetRegistrations(start, manyTargets(targets-1))
-		r.SetOthers(start, others, nil)
+		r.SetReports(start, others, nil)
 		r.ChangeRegistrations(joined, manyTargets(targets)[targets-1:], nil)
 		got += openMany(t, r, joined, 1000, flowsEach)[targets]
 	}
@@ -123,7 +123,7 @@
 // targets, so they seem idle; flows that spilled over there were all lost.
 func TestUnreachableDataCentreGetsNoFlows(t *testing.T) {
 	r := newRouter(t)
-	r.SetOthers(start, nil, nil)
+	r.SetReports(start, nil, nil)
 	qt.Assert(t, openMany(t, r, start, 1, 200)[2], qt.Equals, 0)
 
 	t.Run("unless the VM's own data centre has no target", func(t *testing.T) {
@@ -139,7 +139,7 @@
 func TestLoadOfOtherVMsCounts(t *testing.T) {
 	for range 10 {
 		r := newRouter(t)
-		r.SetOthers(start, map[baobabstep.TargetID]baobabstep.TargetLoad{1: {Requests: 100}}, map[string]int{"b": 1})
+		r.SetReports(start, map[baobabstep.TargetID]baobabstep.TargetLoad{1: {Requests: 100}}, map[string]int{"b": 1})
 		qt.Assert(t, openMany(t, r, start, 1, 1)[2], qt.Equals, 1)
 	}
 }
@@ -152,16 +152,16 @@
 	r.SetRegistrations(start, manyTargets(4))
 	openMany(t, r, start, 1, 200)
 	others := map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 50}, 3: {Requests: 50}, 4: {Requests: 50}}
-	r.SetOthers(start, others, map[string]int{"a": 3})
+	r.SetReports(start, others, map[string]int{"a": 3})
 	got := openMany(t, r, start.Add(time.Second), 1000, 40)
 	qt.Assert(t, got[1] <= 12, qt.IsTrue, qt.Commentf("%v", got))
 
 	t.Run("unless the mechanism is disabled", func(t *testing.T) {
-		r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2)), Without: Mechanisms(0).With(MechanismOwnLoads)})
+		r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2)), Disabled: Mechanisms(0).With(MechanismOwnLoads)})
 		r.SetTable(start, table(1, singleRule(fixtures, "fixtures")))
 		r.SetRegistrations(start, manyTargets(4))
 		openMany(t, r, start, 1, 200)
-		r.SetOthers(start, others, map[string]int{"a": 3})
+		r.SetReports(start, others, map[string]int{"a": 3})
 		qt.Assert(t, openMany(t, r, start.Add(time.Second), 1000, 40)[1], qt.Equals, 20) // every other flow avoids it as the caller's previous try
 	})
 }
--- a/core/token/cold.go
+++ b/core/token/cold.go
@@ -153,5 +153,5 @@
 // SetView sets the VMs of the data centre that share the limits on its cold targets.
 func (r *Router) SetView(view *quota.View) { r.view.Store(view) }
 
-// LimitsCold reports whether any service limits new flows to its cold targets.
-func (r *Router) LimitsCold() bool { return len(r.current.Load().coldLimits) > 0 }
+// HasColdLimits reports whether any service limits new flows to its cold targets.
+func (r *Router) HasColdLimits() bool { return len(r.current.Load().coldLimits) > 0 }
--- a/core/token/cold_test.go
+++ b/core/token/cold_test.go
@@ -30,7 +30,7 @@
 	r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2)), ColdOvershoot: 1.5, ColdSlack: 5})
 	r.SetTable(start, coldTable(1))
 	r.SetRegistrations(start, targets)
-	r.SetOthers(start, nil, map[string]int{"b": 1})
+	r.SetReports(start, nil, map[string]int{"b": 1})
 	r.SetView(&quota.View{Self: 1, Settled: true})
 	return r
 }
@@ -109,7 +109,7 @@
 			target.load.mu.Lock()
 			target.load.health.avoidedAt, target.load.health.avoidUntil = start, later
 			target.load.mu.Unlock()
-			r.SetSilence(later, map[baobabstep.TargetID]baobabstep.TargetLoad{1: {HeardAt: later.Add(-time.Millisecond)}})
+			r.SetSilenceReports(later, map[baobabstep.TargetID]baobabstep.TargetLoad{1: {HeardAt: later.Add(-time.Millisecond)}})
 		}},
 		{"another table has the same limit", []baobabstep.Registration{cold(1, "a", 9*time.Second)}, func(r *Router) {
 			openSteadily(t, r, later.Add(-time.Second), time.Second)
--- a/core/token/evacuation_test.go
+++ b/core/token/evacuation_test.go
@@ -53,7 +53,7 @@
 	})
 	t.Run("until the evacuation ends", func(t *testing.T) {
 		r.SetEvacuations(start, nil)
-		r.SetOthers(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, map[string]int{"b": 1})
+		r.SetReports(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, map[string]int{"b": 1})
 		assertPlaced(t, r, start, 400, 1, 5)
 	})
 }
--- a/core/token/event.go
+++ b/core/token/event.go
@@ -28,8 +28,8 @@
 	EventUnrouted // flow_unrouted
 	// EventEnded: the flow's target is unreachable; the caller was reset.
 	EventEnded // flow_ended
-	// EventUnknown: no target matches the flow's token; the segment was dropped.
-	EventUnknown // token_unknown
+	// EventUnknownToken: no target matches the flow's token; the segment was dropped.
+	EventUnknownToken // token_unknown
 	// EventUnready: routes or targets are not known yet; the segment was dropped.
 	EventUnready // segment_unready
 	// EventSilent: a target left a flow unanswered.
@@ -41,8 +41,8 @@
 	EventAvoided // target_avoided
 	// EventFailing: a target fails more requests than the others of its service.
 	EventFailing // target_failing
-	// EventTried: a target that failed gets a few flows again, on trial.
-	EventTried // target_on_trial
+	// EventOnTrial: a target that failed gets a few flows again, on trial.
+	EventOnTrial // target_on_trial
 	// EventTrusted: a target that failed has passed its trial.
 	EventTrusted // target_trusted
 	numEvents
@@ -59,9 +59,9 @@
 	// force.
 	Rule, Service string
 	Version       uint64
-	// Took is the target's mean answer time and Aim the limit on it, for a flow refused
+	// AnswerTime is the target's mean answer time and Aim the limit on it, for a flow refused
 	// under overload.
-	Took, Aim time.Duration
+	AnswerTime, Aim time.Duration
 	// Known, Draining, Gone and Evacuated count the targets of the service, where none
 	// could take a new flow.
 	Known, Draining, Gone, Evacuated int
@@ -71,16 +71,16 @@
 	// Requests are the recent requests of all VMs at the target.
 	Requests float64
 	// Unanswered and Opens are the counts of unanswered flows and first segments at the
-	// target seen by this VM, Others the unanswered flows reported by other VMs of the data
+	// target seen by this VM, OthersUnanswered the unanswered flows reported by other VMs of the data
 	// centre.
-	Unanswered, Opens, Others int
-	// Heard is the time since the target was last heard from, negative if it never was.
-	Heard time.Duration
-	// Answers and Failed are the recent answers of the target to all VMs, and Peers the
+	Unanswered, Opens, OthersUnanswered int
+	// SinceHeard is the time since the target was last heard from, negative if it never was.
+	SinceHeard time.Duration
+	// Answers and Failed are the recent answers of the target to all VMs, and PeerFailureShare the
 	// usual share of failures in its service, for changes of a verdict; Callers is a lower
 	// bound on the number of callers whose requests failed.
-	Answers, Failed, Peers float64
-	Callers                int
+	Answers, Failed, PeerFailureShare float64
+	FailedCallers                     int
 }
 
 // FlowName returns the name of a flow in logs: its caller and the service address.
@@ -104,12 +104,12 @@
 		e.countTargets(now, s, route)
 	}
 	if kind == EventNoRoom {
-		e.Took, e.Aim = t.load.answerTime(now), route.aim
+		e.AnswerTime, e.Aim = t.load.answerTime(now), route.aim
 	}
 	if t != nil {
 		e.Target, e.Service, e.DataCentre = t.id, t.registration.Service, t.registration.DataCentre
 		_, e.Requests = t.load.requests(now)
-		e.Unanswered, e.Opens, e.Others, e.Heard = t.load.evidence(now)
+		e.Unanswered, e.Opens, e.OthersUnanswered, e.SinceHeard = t.load.evidence(now)
 	}
 	return e
 }
@@ -144,22 +144,22 @@
 	case answer.Failing:
 		kind = EventFailing
 	case answer.OnTrial:
-		kind = EventTried
+		kind = EventOnTrial
 	}
 	r.counts.events[kind].Add(1)
-	if r.options.Record == nil || !r.options.Wanted(now, kind) {
+	if r.options.Record == nil || !r.options.EventEnabled(now, kind) {
 		return
 	}
 	e := r.newEvent(now, kind, s, nil, t, nil)
 	e.Answers, e.Failed = evidence.Target.Answers, evidence.Target.Failed
-	e.Peers, e.Callers = evidence.Peers, evidence.Callers.Count()
+	e.PeerFailureShare, e.FailedCallers = evidence.Peers, evidence.Callers.Count()
 	r.options.Record(now, e)
 }
 
 // record counts an event and passes it to the recorder if it is wanted.
 func (r *Router) record(now time.Time, kind EventKind, s *snapshot, route *rule, t *target, p *baobabstep.Segment) {
 	r.counts.events[kind].Add(1)
-	if r.options.Record != nil && r.options.Wanted(now, kind) {
+	if r.options.Record != nil && r.options.EventEnabled(now, kind) {
 		r.options.Record(now, r.newEvent(now, kind, s, route, t, p))
 	}
 }
--- a/core/token/fleet_model_test.go
+++ b/core/token/fleet_model_test.go
@@ -225,7 +225,7 @@
 			var ended []baobabstep.Forward
 			r.Tick(m.now, &ended)
 			m.checkEnded(ended)
-			r.SetOthers(m.now, nil, nil)
+			r.SetReports(m.now, nil, nil)
 		}
 	}
 }
--- a/core/token/follow.go
+++ b/core/token/follow.go
@@ -142,8 +142,8 @@
 	if progress && !f.opening && f.timingPending && p.Size == 0 {
 		f.timingPending = false
 		f.answerTime = now.Sub(f.requestSentAt)
-		if r.options.Finished != nil {
-			r.options.Finished(f.answerTime)
+		if r.options.ObserveRequestTime != nil {
+			r.options.ObserveRequestTime(f.answerTime)
 		}
 	}
 	if f.opening {
--- a/core/token/health_test.go
+++ b/core/token/health_test.go
@@ -310,7 +310,7 @@
 	t.Run("even if the first target is the least loaded", func(t *testing.T) {
 		r := newRouter(t)
 		r.SetRegistrations(start, manyTargets(2))
-		r.SetOthers(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, nil)
+		r.SetReports(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, nil)
 		first, _ := open(t, r, start, flowFrom(1, fixtures))
 		qt.Assert(t, first, qt.Equals, baobabstep.TargetID(1))
 		second, _ := open(t, r, start.Add(5*time.Millisecond), flowFrom(2, fixtures))
--- a/core/token/mechanism.go
+++ b/core/token/mechanism.go
@@ -81,4 +81,4 @@
 }
 
 // enabled reports whether a mechanism is in use.
-func (r *Router) enabled(m Mechanism) bool { return !r.options.Without.Has(m) }
+func (r *Router) enabled(m Mechanism) bool { return !r.options.Disabled.Has(m) }
--- a/core/token/restart_test.go
+++ b/core/token/restart_test.go
@@ -47,7 +47,7 @@
 	})
 	t.Run("reports of VMs that do not know the new run are ignored", func(t *testing.T) {
 		old := map[baobabstep.TargetID]baobabstep.TargetLoad{1: {Silence: silenceReports(3, 9, later.Add(newRunGrace))}}
-		r.SetOthers(start, old, map[string]int{"a": 3, "b": 1})
+		r.SetReports(start, old, map[string]int{"a": 3, "b": 1})
 		qt.Assert(t, now.load.suspect(later.Add(newRunGrace-1)), qt.IsFalse)
 		qt.Assert(t, now.load.suspect(later.Add(newRunGrace)), qt.IsTrue)
 	})
@@ -100,12 +100,12 @@
 func TestLapsedTargetsGetFlowsDuringGrace(t *testing.T) {
 	const lateReturn = 2 * time.Second
 	r := newRouter(t)
-	r.StoreBack(start)
+	r.StoreReconnected(start)
 	r.SetRegistrations(start, nil)
 	open(t, r, start.Add(lateReturn), flowFrom(1, fixtures))
 
 	t.Run("not after the grace period", func(t *testing.T) {
-		now := start.Add(LapseGrace)
+		now := start.Add(ReregistrationGrace)
 		assertReset(t, r, now, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(2, fixtures), Seq: 9})
 	})
 	t.Run("not without a store outage", func(t *testing.T) {
--- a/core/token/router.go
+++ b/core/token/router.go
@@ -19,31 +19,31 @@
 	DataCentre string
 	// Rand draws services and breaks ties. The router guards it with a lock.
 	Rand *rand.Rand
-	// FlowMax is the longest time that a flow may last; older flows may be forgotten (60
+	// MaxFlowDuration is the longest time that a flow may last; older flows may be forgotten (60
 	// s).
-	FlowMax time.Duration
-	// Idle is the time without packets after which a flow record is dropped, unless the
+	MaxFlowDuration time.Duration
+	// IdleTimeout is the time without packets after which a flow record is dropped, unless the
 	// routing table sets a shorter one (15 s).
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// ColdOvershoot and ColdSlack bound the new flows that a cold target gets in any second
 	// to its limit times ColdOvershoot, plus ColdSlack (1, 0).
 	ColdOvershoot, ColdSlack float64
-	// Without is the set of disabled mechanisms (none).
-	Without Mechanisms
-	// Finished, if set, is called with the response time of each request whose answer this
+	// Disabled is the set of disabled mechanisms (none).
+	Disabled Mechanisms
+	// ObserveRequestTime, if set, is called with the response time of each request whose answer this
 	// VM saw acknowledged.
-	Finished func(took time.Duration)
+	ObserveRequestTime func(took time.Duration)
 	// Record receives the events for which Wanted returns true. Both are nil if no events
 	// are recorded.
 	Record Recorder
-	// Wanted is called before an event is built, because building it is most of the cost of
+	// EventEnabled is called before an event is built, because building it is most of the cost of
 	// an event that is not recorded.
-	Wanted func(now time.Time, kind EventKind) bool
+	EventEnabled func(now time.Time, kind EventKind) bool
 }
 
 func (o *Options) setDefaults() {
-	o.FlowMax = cmp.Or(o.FlowMax, 60*time.Second)
-	o.Idle = cmp.Or(o.Idle, 15*time.Second)
+	o.MaxFlowDuration = cmp.Or(o.MaxFlowDuration, 60*time.Second)
+	o.IdleTimeout = cmp.Or(o.IdleTimeout, 15*time.Second)
 	o.ColdOvershoot = cmp.Or(o.ColdOvershoot, 1)
 }
 
@@ -140,20 +140,20 @@
 	}
 }
 
-// LapseGrace is how long the store may lack registrations and operator changes after it
+// ReregistrationGrace is how long the store may lack registrations and operator changes after it
 // becomes reachable again: about 2 s until a live target renews its registration, plus the
 // time to distribute the change.
-const LapseGrace = 2500 * time.Millisecond
+const ReregistrationGrace = 2500 * time.Millisecond
 
-// StoreBack records that the store has just become reachable again. Targets that could not
+// StoreReconnected records that the store has just become reachable again. Targets that could not
 // renew their registrations for long enough are missing from the store at first although
 // they are alive. Without a grace period most targets of every service would seem gone at
 // once, and callers would be refused.
-func (r *Router) StoreBack(now time.Time) {
+func (r *Router) StoreReconnected(now time.Time) {
 	r.changeLock.Lock()
 	defer r.changeLock.Unlock()
 	next := *r.current.Load()
-	next.lapseGraceUntil = now.Add(LapseGrace)
+	next.lapseGraceUntil = now.Add(ReregistrationGrace)
 	r.current.Store(&next)
 }
 
@@ -161,7 +161,7 @@
 // StoreBack. The restored store may also lack the latest changes of targets: a draining
 // target is registered as ready, and a target that is gone is registered again.
 func (r *Router) StoreRestored(now time.Time) {
-	r.StoreBack(now)
+	r.StoreReconnected(now)
 	r.changeLock.Lock()
 	defer r.changeLock.Unlock()
 	next := *r.current.Load()
@@ -169,13 +169,13 @@
 	r.current.Store(&next)
 }
 
-// SetOthers sets what other VMs report of targets, and the number of VMs heard from in each
+// SetReports sets what other VMs report of targets, and the number of VMs heard from in each
 // data centre. Targets that are not in others keep their previous values.
 //
 // A data centre from which no VM is heard counts as unreachable. Behind a partition its
 // targets would seem idle, since no VM reports the requests sent to them, and each new flow
 // to them would be lost.
-func (r *Router) SetOthers(now time.Time, others map[baobabstep.TargetID]baobabstep.TargetLoad, heard map[string]int) {
+func (r *Router) SetReports(now time.Time, others map[baobabstep.TargetID]baobabstep.TargetLoad, heard map[string]int) {
 	r.vmsHeard.Store(&heard)
 	targets := r.current.Load().targets
 	for _, id := range slices.Sorted(maps.Keys(others)) { // sorted, so that events are recorded in a deterministic order
@@ -193,9 +193,9 @@
 	}
 }
 
-// Appeared returns the targets that were added or restarted since the previous call.
+// TakeNewTargets returns the targets that were added or restarted since the previous call.
 // Reports that SetOthers received for them earlier have not been applied.
-func (r *Router) Appeared() []baobabstep.TargetID { return r.current.Load().newTargets.take() }
+func (r *Router) TakeNewTargets() []baobabstep.TargetID { return r.current.Load().newTargets.take() }
 
 // vmCount returns the number of live VMs in the data centre, including this one.
 func (r *Router) vmCount() int { return 1 + (*r.vmsHeard.Load())[r.options.DataCentre] }
@@ -214,10 +214,10 @@
 	return report
 }
 
-// Loads returns what this VM reports to other VMs: the requests that it sent to targets,
+// Reports returns what this VM reports to other VMs: the requests that it sent to targets,
 // and the answers and unanswered flows that it observed. Targets with nothing to report are
 // omitted.
-func (r *Router) Loads(now time.Time) []baobabstep.TargetLoad {
+func (r *Router) Reports(now time.Time) []baobabstep.TargetLoad {
 	r.loadsLock.Lock()
 	defer r.loadsLock.Unlock()
 	s := r.current.Load()
@@ -244,8 +244,8 @@
 	return r.current.Load().ready()
 }
 
-// Known returns a channel that is closed once the router can place flows.
-func (r *Router) Known() <-chan struct{} { return r.readyChan }
+// ReadyChan returns a channel that is closed once the router can place flows.
+func (r *Router) ReadyChan() <-chan struct{} { return r.readyChan }
 
 // Handle decides what to do with one packet of a caller and appends the datagrams to send
 // to out.
@@ -330,7 +330,7 @@
 func (r *Router) forwardEstablished(now time.Time, s *snapshot, route *rule, h flowHash, p *baobabstep.Segment, out *[]baobabstep.Forward) {
 	t := s.find(now, route, h, p.Token)
 	if t == nil {
-		r.record(now, EventUnknown, s, route, nil, p)
+		r.record(now, EventUnknownToken, s, route, nil, p)
 		return
 	}
 	shard := r.flows.shard(h)
@@ -356,7 +356,7 @@
 // requests will not be answered because their targets are unreachable.
 func (r *Router) Tick(now time.Time, out *[]baobabstep.Forward) {
 	s := r.current.Load()
-	idle := r.options.Idle
+	idle := r.options.IdleTimeout
 	if s.idleTimeout > 0 {
 		idle = min(idle, s.idleTimeout)
 	}
--- a/core/token/router_test.go
+++ b/core/token/router_test.go
@@ -150,20 +150,20 @@
 	back := start.Add(10 * time.Second)
 	lapsed := func(t *testing.T) *Router {
 		r := newRouter(t)
-		r.StoreBack(back)
+		r.StoreReconnected(back)
 		r.SetRegistrations(back, nil)
 		return r
 	}
 	t.Run("targets get new flows during the grace period", func(t *testing.T) {
-		open(t, lapsed(t), back.Add(LapseGrace-1), flowFrom(1, fixtures))
+		open(t, lapsed(t), back.Add(ReregistrationGrace-1), flowFrom(1, fixtures))
 	})
 	t.Run("not after the grace period", func(t *testing.T) {
-		assertReset(t, lapsed(t), back.Add(LapseGrace), baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
+		assertReset(t, lapsed(t), back.Add(ReregistrationGrace), baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
 	})
 	t.Run("not a target that goes missing later", func(t *testing.T) {
 		r := newRouter(t)
-		r.StoreBack(back)
-		later := back.Add(LapseGrace)
+		r.StoreReconnected(back)
+		later := back.Add(ReregistrationGrace)
 		r.SetRegistrations(later, nil)
 		assertReset(t, r, later, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
 	})
@@ -172,7 +172,7 @@
 		list := threeTargets()
 		list[0].Draining, list[1].Draining = true, true
 		r.SetRegistrations(start, list)
-		r.StoreBack(back)
+		r.StoreReconnected(back)
 		r.SetRegistrations(back, nil)
 		assertReset(t, r, back, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)})
 	})
@@ -195,10 +195,10 @@
 	gone := func(r *Router, list []baobabstep.Registration) { r.SetRegistrations(start, list[2:]) }
 	segment := baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)}
 	t.Run("the restored store lacks the drain", func(t *testing.T) {
-		assertReset(t, restored(t, noChange), back.Add(LapseGrace-1), segment)
+		assertReset(t, restored(t, noChange), back.Add(ReregistrationGrace-1), segment)
 	})
 	t.Run("the restored store has a target that was gone", func(t *testing.T) {
-		assertReset(t, restored(t, gone), back.Add(LapseGrace-1), segment)
+		assertReset(t, restored(t, gone), back.Add(ReregistrationGrace-1), segment)
 	})
 	t.Run("other registration changes do not end the drain", func(t *testing.T) {
 		r := restored(t, noChange)
@@ -206,10 +206,10 @@
 			list[0].ColdFor = time.Second
 			r.ChangeRegistrations(back.Add(time.Second), list, nil)
 		}
-		assertReset(t, r, back.Add(LapseGrace-1), segment)
+		assertReset(t, r, back.Add(ReregistrationGrace-1), segment)
 	})
 	t.Run("not after the grace period", func(t *testing.T) {
-		open(t, restored(t, noChange), back.Add(LapseGrace), segment.Flow)
+		open(t, restored(t, noChange), back.Add(ReregistrationGrace), segment.Flow)
 	})
 	t.Run("not for another run", func(t *testing.T) {
 		r := restored(t, noChange)
@@ -223,7 +223,7 @@
 		list := threeTargets()
 		list[0].Draining, list[1].Draining = true, true
 		r.SetRegistrations(start, list)
-		r.StoreBack(back)
+		r.StoreReconnected(back)
 		r.SetRegistrations(back, threeTargets())
 		open(t, r, back, segment.Flow)
 	})
@@ -267,8 +267,8 @@
 		r.SetRegistrations(start.Add(time.Second), nil)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, []baobabstep.Registration{warm})
-		assertReset(t, r, back.Add(LapseGrace-1), segment)
-		open(t, r, back.Add(LapseGrace), segment.Flow)
+		assertReset(t, r, back.Add(ReregistrationGrace-1), segment)
+		open(t, r, back.Add(ReregistrationGrace), segment.Flow)
 	})
 	t.Run("a target that lapsed during the outage gets flows once it is registered", func(t *testing.T) {
 		r := known(t, warm)
@@ -312,7 +312,7 @@
 	qt.Assert(t, r.Stats().Flows, qt.Equals, 0)
 
 	open(t, r, start, flowFrom(2, results))
-	r.Tick(start.Add(r.options.Idle), new([]baobabstep.Forward))
+	r.Tick(start.Add(r.options.IdleTimeout), new([]baobabstep.Forward))
 	qt.Assert(t, load(), qt.Equals, int32(0))
 }
 
--- a/core/token/snapshot.go
+++ b/core/token/snapshot.go
@@ -65,7 +65,7 @@
 
 func newSnapshot(o *Options) *snapshot {
 	return &snapshot{
-		maxFlowDuration: o.FlowMax, services: newServiceRegistry(), active: new(targetSet), newTargets: new(targetSet), inheritLoads: !o.Without.Has(MechanismBeginLoad),
+		maxFlowDuration: o.MaxFlowDuration, services: newServiceRegistry(), active: new(targetSet), newTargets: new(targetSet), inheritLoads: !o.Disabled.Has(MechanismBeginLoad),
 		rules:   map[netip.AddrPort]*rule{},
 		pools:   map[string]*pool{},
 		targets: map[baobabstep.TargetID]*target{},
@@ -321,7 +321,7 @@
 	t.load = old.load
 	t.leavingUntil = old.leavingUntil
 	if s.inRestoreGrace(now) && s.wasUnavailable(old) && !r.Draining {
-		t.leavingUntil = s.restoredAt.Add(LapseGrace)
+		t.leavingUntil = s.restoredAt.Add(ReregistrationGrace)
 	}
 	if *r == old.registration {
 		t.coldUntil = old.coldUntil // a repeated registration does not extend the cold period
@@ -332,7 +332,7 @@
 // inRestoreGrace reports whether the store was restored from a backup so recently that it
 // may lack the latest changes of targets.
 func (s *snapshot) inRestoreGrace(now time.Time) bool {
-	return now.Before(s.restoredAt.Add(LapseGrace))
+	return now.Before(s.restoredAt.Add(ReregistrationGrace))
 }
 
 // wasUnavailable reports whether a target was draining, or was gone before the store was
--- a/core/token/snapshot_test.go
+++ b/core/token/snapshot_test.go
@@ -34,8 +34,8 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
 			if rapid.IntRange(0, 5).Draw(t, "back") == 0 {
-				whole.StoreBack(now)
-				changed.StoreBack(now)
+				whole.StoreReconnected(now)
+				changed.StoreReconnected(now)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "restored") == 0 {
 				whole.StoreRestored(now)
--- a/core/token/targetset_test.go
+++ b/core/token/targetset_test.go
@@ -14,12 +14,12 @@
 // target's registration.
 func TestNewTargetsAreReportedOnce(t *testing.T) {
 	r := newRouter(t)
-	qt.Assert(t, r.Appeared(), qt.DeepEquals, []baobabstep.TargetID{1, 2, 3})
-	qt.Assert(t, r.Appeared(), qt.HasLen, 0)
+	qt.Assert(t, r.TakeNewTargets(), qt.DeepEquals, []baobabstep.TargetID{1, 2, 3})
+	qt.Assert(t, r.TakeNewTargets(), qt.HasLen, 0)
 	again := registration(2, "fixtures", "b")
 	again.Life = 7
 	r.ChangeRegistrations(start, []baobabstep.Registration{again, registration(3, "results", "a"), registration(4, "results", "a")}, nil)
-	qt.Assert(t, r.Appeared(), qt.DeepEquals, []baobabstep.TargetID{2, 4})
+	qt.Assert(t, r.TakeNewTargets(), qt.DeepEquals, []baobabstep.TargetID{2, 4})
 }
 
 // Guards against an empty heartbeat because another goroutine prepares one at the same
@@ -31,7 +31,7 @@
 	for range 2 {
 		go func() {
 			for range 1000 {
-				if got := len(r.Loads(start)); got != 1 {
+				if got := len(r.Reports(start)); got != 1 {
 					ended <- fmt.Errorf("got %d loads, want 1", got)
 					return
 				}
@@ -53,13 +53,13 @@
 				list[i] = registration(baobabstep.TargetID(i+1), "fixtures", "a")
 			}
 			r.SetRegistrations(start, list)
-			qt.Assert(t, r.Loads(start), qt.HasLen, 0)
+			qt.Assert(t, r.Reports(start), qt.HasLen, 0)
 			target, _ := open(t, r, start, flowFrom(1, fixtures))
-			loads := r.Loads(start)
+			loads := r.Reports(start)
 			qt.Assert(t, loads, qt.HasLen, 1)
 			qt.Assert(t, loads[0].Target, qt.Equals, target)
-			qt.Assert(t, r.Loads(start.Add(time.Second)), qt.HasLen, 1)
-			qt.Assert(t, r.Loads(start.Add(time.Minute)), qt.HasLen, 0)
+			qt.Assert(t, r.Reports(start.Add(time.Second)), qt.HasLen, 1)
+			qt.Assert(t, r.Reports(start.Add(time.Minute)), qt.HasLen, 0)
 		})
 	}
 }
--- a/core/token/trouble.go
+++ b/core/token/trouble.go
@@ -30,12 +30,12 @@
 	}
 }
 
-// Troubled returns a channel that holds a value while Troubles has reports.
-func (r *Router) Troubled() <-chan struct{} { return r.urgentReports.pending }
+// UrgentReportsPending returns a channel that holds a value while Troubles has reports.
+func (r *Router) UrgentReportsPending() <-chan struct{} { return r.urgentReports.pending }
 
-// Troubles returns reports on the targets that, since the last call, left a flow unanswered
+// TakeUrgentReports returns reports on the targets that, since the last call, left a flow unanswered
 // or were heard from although other VMs report them as silent.
-func (r *Router) Troubles(now time.Time) (list []baobabstep.TargetLoad) {
+func (r *Router) TakeUrgentReports(now time.Time) (list []baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
 	for _, id := range r.urgentReports.take() {
 		if t := targets[id]; t != nil && r.enabled(MechanismAlarms) {
@@ -47,9 +47,9 @@
 	return list
 }
 
-// SetSilence sets other VMs' reports on the silence of some targets; their other reports
+// SetSilenceReports sets other VMs' reports on the silence of some targets; their other reports
 // stay as they are.
-func (r *Router) SetSilence(now time.Time, reports map[baobabstep.TargetID]baobabstep.TargetLoad) {
+func (r *Router) SetSilenceReports(now time.Time, reports map[baobabstep.TargetID]baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
 	for _, id := range slices.Sorted(maps.Keys(reports)) { // sorted, because avoidIfRefusing draws a random number for each
 		if t := targets[id]; t != nil {
--- a/emulator/cold_test.go
+++ b/emulator/cold_test.go
@@ -30,7 +30,7 @@
 		{Kind: KindColdReturn, AtMS: 5000, ForMS: 4500}, {Kind: KindBurst, AtMS: 8000, ForMS: 6000, X: 2.2},
 	}
 	d := coldDay(t, "small")
-	unlimited := func(o *token.Options) { o.Without = token.Mechanisms(0).With(token.MechanismColdLimits) }
+	unlimited := func(o *token.Options) { o.Disabled = token.Mechanisms(0).With(token.MechanismColdLimits) }
 	for seed := range uint64(1) {
 		with := play(t, d, Options{Seed: seed, Troubles: troubles})
 		qt.Check(t, with.Promises.ColdOver, qt.Equals, 0, qt.Commentf("seed %d: %+v", seed, with.Promises))
--- a/emulator/policy_test.go
+++ b/emulator/policy_test.go
@@ -17,7 +17,7 @@
 	d.Seconds = 24
 	for seed := range uint64(days) {
 		with += play(t, d, Options{Seed: seed, Troubles: troubles}).Worth / days
-		policy := func(o *token.Options) { o.Without = token.Mechanisms(0).With(without) }
+		policy := func(o *token.Options) { o.Disabled = token.Mechanisms(0).With(without) }
 		off += play(t, d, Options{Seed: seed, Troubles: troubles, Policy: policy}).Worth / days
 	}
 	return with, off
@@ -119,7 +119,7 @@
 			d.Seconds = 7
 			troubles := []Trouble{test.trouble}
 			with := play(t, d, Options{Seed: 1, Troubles: troubles}).Worth
-			policy := func(o *token.Options) { o.Without = token.Mechanisms(0).With(test.mechanism) }
+			policy := func(o *token.Options) { o.Disabled = token.Mechanisms(0).With(test.mechanism) }
 			off := play(t, d, Options{Seed: 1, Troubles: troubles, Policy: policy}).Worth
 			qt.Check(t, with >= 0.98, qt.IsTrue, qt.Commentf("%.4f", with))
 			qt.Check(t, with-off >= test.gain, qt.IsTrue, qt.Commentf("%.4f, without %.4f", with, off))
--- a/emulator/vm.go
+++ b/emulator/vm.go
@@ -172,12 +172,12 @@
 }
 
 func (v *vm) own(now time.Time) heartbeat.Own {
-	return heartbeat.Own{Loads: v.router.Loads(now)}
+	return heartbeat.Own{Loads: v.router.Reports(now)}
 }
 
 func (v *vm) takeOthers(now time.Time) {
-	v.board.Repeat(v.router.Appeared())
-	v.router.SetOthers(now, v.board.Loads(now), v.board.Live(now))
+	v.board.Repeat(v.router.TakeNewTargets())
+	v.router.SetReports(now, v.board.Loads(now), v.board.Live(now))
 	v.router.SetView(v.board.View(now))
 }
 
@@ -187,9 +187,9 @@
 		return
 	}
 	select {
-	case <-v.router.Troubled():
+	case <-v.router.UrgentReportsPending():
 		v.toldAt = v.world.now
-		v.sendAll(v.board.Alarm(now, v.router.Troubles(now)))
+		v.sendAll(v.board.Alarm(now, v.router.TakeUrgentReports(now)))
 	default:
 	}
 }
@@ -277,7 +277,7 @@
 		case m.Heartbeat != nil:
 			v.board.Handle(now, from, m.Heartbeat)
 		case m.Alarm != nil:
-			v.router.SetSilence(now, v.board.HandleAlarm(now, from, m.Alarm))
+			v.router.SetSilenceReports(now, v.board.HandleAlarm(now, from, m.Alarm))
 		}
 	})
 }
--- a/emulator/world_test.go
+++ b/emulator/world_test.go
@@ -60,7 +60,7 @@
 	d.Seconds = 10
 	var asked [2][]int
 	for i, without := range []token.Mechanisms{0, token.Mechanisms(0).With(token.MechanismNear).With(token.MechanismTimes)} {
-		r := play(t, d, Options{Seed: 7, Troubles: everything(), Policy: func(o *token.Options) { o.Without = without }})
+		r := play(t, d, Options{Seed: 7, Troubles: everything(), Policy: func(o *token.Options) { o.Disabled = without }})
 		for _, w := range r.Windows {
 			asked[i] = append(asked[i], w.Asked)
 		}
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -64,7 +64,7 @@
 // enforceEvacuations puts in force what is held, merged with what a restored store may
 // lack for token.LapseGrace. The caller holds b.mu.
 func (b *beliefs) enforceEvacuations(now time.Time, source string) {
-	if now.Sub(b.restoredAt) >= token.LapseGrace {
+	if now.Sub(b.restoredAt) >= token.ReregistrationGrace {
 		b.merge = nil
 	}
 	list := b.evacuated
--- a/entry/hand.go
+++ b/entry/hand.go
@@ -249,7 +249,7 @@
 // read it; whatever registrations come now are the first since.
 func (n *Node) noteReturn(now time.Time) {
 	if n.blind[heartbeat.Targets].Load() {
-		n.router.StoreBack(now)
+		n.router.StoreReconnected(now)
 	}
 }
 
--- a/entry/journal.go
+++ b/entry/journal.go
@@ -48,19 +48,19 @@
 		fields["target"], fields["service"] = targetName(e.Target), e.Service
 		fields["target_data_centre"], fields["requests"] = e.DataCentre, int(e.Requests)
 		n.addAge(now, fields, "targets_age_ms", heartbeat.Targets)
-		if e.Heard >= 0 {
-			fields["heard_ms"] = e.Heard.Milliseconds()
+		if e.SinceHeard >= 0 {
+			fields["heard_ms"] = e.SinceHeard.Milliseconds()
 		}
 	}
-	if e.Unanswered > 0 || e.Others > 0 {
-		fields["unanswered"], fields["opens_unanswered"], fields["others_unanswered"] = e.Unanswered, e.Opens, e.Others
+	if e.Unanswered > 0 || e.OthersUnanswered > 0 {
+		fields["unanswered"], fields["opens_unanswered"], fields["others_unanswered"] = e.Unanswered, e.Opens, e.OthersUnanswered
 	}
 	if e.Aim > 0 {
-		fields["took_ms"], fields["aim_ms"] = e.Took.Milliseconds(), e.Aim.Milliseconds()
+		fields["took_ms"], fields["aim_ms"] = e.AnswerTime.Milliseconds(), e.Aim.Milliseconds()
 	}
 	if e.Answers > 0 {
-		fields["answers"], fields["failed"], fields["callers_failed"] = round1(e.Answers), round1(e.Failed), e.Callers
-		fields["peers_failed_share"] = round1(100*e.Peers) / 100
+		fields["answers"], fields["failed"], fields["callers_failed"] = round1(e.Answers), round1(e.Failed), e.FailedCallers
+		fields["peers_failed_share"] = round1(100*e.PeerFailureShare) / 100
 	}
 	n.log.WithFields(fields).Info(e.Kind.String())
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -104,14 +104,14 @@
 		done:    make(chan struct{}),
 	}
 	n.router = token.New(token.Options{
-		DataCentre:    o.Settings.DataCentre,
-		Rand:          rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())),
-		FlowMax:       o.Settings.Token.FlowMax(),
-		ColdOvershoot: o.Settings.Token.ColdOvershoot, ColdSlack: o.Settings.Token.ColdSlack,
-		Without:  o.Settings.Token.Mechanisms(),
-		Finished: n.observeRequest,
-		Record:   n.logEvent,
-		Wanted:   n.eventWanted,
+		DataCentre:      o.Settings.DataCentre,
+		Rand:            rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())),
+		MaxFlowDuration: o.Settings.Token.FlowMax(),
+		ColdOvershoot:   o.Settings.Token.ColdOvershoot, ColdSlack: o.Settings.Token.ColdSlack,
+		Disabled:           o.Settings.Token.Mechanisms(),
+		ObserveRequestTime: n.observeRequest,
+		Record:             n.logEvent,
+		EventEnabled:       n.eventWanted,
 	})
 	n.beliefs = newBeliefs(n.router, n.log, o.LogLimits)
 	n.board = heartbeat.New(n.started, heartbeat.Options{
@@ -132,7 +132,7 @@
 func (n *Node) Done() <-chan struct{} { return n.done }
 
 // Known is closed once the VM can place flows.
-func (n *Node) Known() <-chan struct{} { return n.router.Known() }
+func (n *Node) Known() <-chan struct{} { return n.router.ReadyChan() }
 
 // Ready says why the fabric should not hand packets to the VM; nil if it should.
 func (n *Node) Ready() error {
@@ -244,7 +244,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-n.router.Known():
+	case <-n.router.ReadyChan():
 	}
 }
 
@@ -255,7 +255,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.router.Troubled():
+		case <-n.router.UrgentReportsPending():
 			n.raiseAlarm(n.clock.Now())
 			pause(ctx, troubleInterval, nil)
 		case <-ticker.C:
--- a/entry/restore_model_test.go
+++ b/entry/restore_model_test.go
@@ -196,9 +196,9 @@
 			later := benchEpoch.Add(time.Second)
 			hold(later, baobabstep.Revision{Era: 2, Number: 451}, test.since)
 			assertInForce(test.wantSince)
-			n.beliefs.settleEvacuations(benchEpoch.Add(token.LapseGrace - 1))
+			n.beliefs.settleEvacuations(benchEpoch.Add(token.ReregistrationGrace - 1))
 			assertInForce(test.wantSince)
-			n.beliefs.settleEvacuations(benchEpoch.Add(token.LapseGrace))
+			n.beliefs.settleEvacuations(benchEpoch.Add(token.ReregistrationGrace))
 			assertInForce(test.since)
 		})
 	}
--- a/entry/share.go
+++ b/entry/share.go
@@ -149,7 +149,7 @@
 	case m.Evacuations != nil:
 		n.handleEvacuations(now, from, m.Evacuations)
 	case m.Alarm != nil:
-		n.router.SetSilence(now, n.board.HandleAlarm(now, from, m.Alarm))
+		n.router.SetSilenceReports(now, n.board.HandleAlarm(now, from, m.Alarm))
 	case m.Fragment != nil:
 		n.handleFragment(now, from, m.Fragment)
 	case m.Section != nil:
@@ -267,9 +267,9 @@
 	}
 	n.requestMissingSections(now)
 	live := n.board.Live(now)
-	n.board.Repeat(n.router.Appeared())
-	n.router.SetOthers(now, n.board.Loads(now), live)
-	if n.router.LimitsCold() {
+	n.board.Repeat(n.router.TakeNewTargets())
+	n.router.SetReports(now, n.board.Loads(now), live)
+	if n.router.HasColdLimits() {
 		n.router.SetView(n.board.View(now))
 	}
 	n.noteDataCentres(live)
@@ -278,13 +278,13 @@
 
 // raiseAlarm tells the data centre of targets in trouble.
 func (n *Node) raiseAlarm(now time.Time) {
-	n.sendAll(n.board.Alarm(now, n.router.Troubles(now)))
+	n.sendAll(n.board.Alarm(now, n.router.TakeUrgentReports(now)))
 }
 
 func (n *Node) own(now time.Time) heartbeat.Own {
 	return heartbeat.Own{
 		Leaving: n.stopping.Load(), Blind: n.isBlind(),
-		Held: n.beliefs.told(now), Loads: n.router.Loads(now),
+		Held: n.beliefs.told(now), Loads: n.router.Reports(now),
 	}
 }
 
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -14,7 +14,7 @@
 	d, troubles := f.day(seed)
 	w, err := emulator.New(&d, emulator.Options{
 		Seed: seed, Troubles: troubles,
-		Policy: func(o *token.Options) { o.Without = arm.without },
+		Policy: func(o *token.Options) { o.Disabled = arm.without },
 	})
 	if err != nil {
 		return nil, err
