--- a/core/token/answers.go
+++ b/core/token/answers.go
@@ -13,8 +13,8 @@
 
 const (
 	// answerSettleDelay is the time without further acknowledgements after which an answer
-	// counts as complete. Callers may delay the acknowledgement of a lone last packet by 40
-	// ms, and targets retransmit after 200 ms; both cases are rare.
+	// counts as complete. Callers may delay the acknowledgement of a lone last packet by
+	// 40 ms, and targets retransmit after 200 ms; both cases are rare.
 	answerSettleDelay = 150 * time.Millisecond
 	// A request counts as unanswered after hangTimeFactor times the mean answer time of its
 	// service, but not before minHangTime, because callers retransmit after 0.2 s. In a
--- a/core/token/choose_test.go
+++ b/core/token/choose_test.go
@@ -43,8 +43,8 @@
 
 // Guards against overloading a target that joins a service whose other targets have long
 // flows. When the choice depended on open flows alone, the new target got each new flow of
-// every VM at once, its queue filled up, and callers got 503.
-// The new target must get about its share.
+// every VM at once, its queue filled up, and callers got 503. The new target must get about
+// its share.
 func TestNewTargetIsNotFlooded(t *testing.T) {
 	r := newRouter(t)
 	r.SetRegistrations(start, manyTargets(10))
--- a/core/token/event.go
+++ b/core/token/event.go
@@ -59,8 +59,8 @@
 	// force.
 	Rule, Service string
 	Version       uint64
-	// AnswerTime is the target's mean answer time and Aim the limit on it, for a flow refused
-	// under overload.
+	// AnswerTime is the target's mean answer time and Aim the limit on it, for a flow
+	// refused under overload.
 	AnswerTime, Aim time.Duration
 	// Known, Draining, Gone and Evacuated count the targets of the service, where none
 	// could take a new flow.
@@ -71,14 +71,16 @@
 	// Requests are the recent requests of all VMs at the target.
 	Requests float64
 	// Unanswered and Opens are the counts of unanswered flows and first segments at the
-	// target seen by this VM, OthersUnanswered the unanswered flows reported by other VMs of the data
-	// centre.
+	// target seen by this VM, OthersUnanswered the unanswered flows reported by other VMs
+	// of the data centre.
 	Unanswered, Opens, OthersUnanswered int
-	// SinceHeard is the time since the target was last heard from, negative if it never was.
+	// SinceHeard is the time since the target was last heard from, negative if it never
+	// was.
 	SinceHeard time.Duration
-	// Answers and Failed are the recent answers of the target to all VMs, and PeerFailureShare the
-	// usual share of failures in its service, for changes of a verdict; Callers is a lower
-	// bound on the number of callers whose requests failed.
+	// Answers and Failed are the recent answers of the target to all VMs, and
+	// PeerFailureShare the usual share of failures in its service, for changes of a
+	// verdict; FailedCallers is a lower bound on the number of callers whose requests
+	// failed.
 	Answers, Failed, PeerFailureShare float64
 	FailedCallers                     int
 }
--- a/core/token/load.go
+++ b/core/token/load.go
@@ -48,7 +48,7 @@
 	return &load{id: id, active: active, health: health{knownSince: now}}
 }
 
-// markActive adds the target to those that the next Router.Loads examines.
+// markActive adds the target to those that the next Router.Reports examines.
 func (l *load) markActive() { l.active.add(l.id) }
 
 // minReportedRequests is the weight of recent requests below which none are reported:
--- a/core/token/router.go
+++ b/core/token/router.go
@@ -19,25 +19,25 @@
 	DataCentre string
 	// Rand draws services and breaks ties. The router guards it with a lock.
 	Rand *rand.Rand
-	// MaxFlowDuration is the longest time that a flow may last; older flows may be forgotten (60
-	// s).
+	// MaxFlowDuration is the longest time that a flow may last; older flows may be
+	// forgotten (60 s).
 	MaxFlowDuration time.Duration
-	// IdleTimeout is the time without packets after which a flow record is dropped, unless the
-	// routing table sets a shorter one (15 s).
+	// IdleTimeout is the time without packets after which a flow record is dropped, unless
+	// the routing table sets a shorter one (15 s).
 	IdleTimeout time.Duration
 	// ColdOvershoot and ColdSlack bound the new flows that a cold target gets in any second
 	// to its limit times ColdOvershoot, plus ColdSlack (1, 0).
 	ColdOvershoot, ColdSlack float64
 	// Disabled is the set of disabled mechanisms (none).
 	Disabled Mechanisms
-	// ObserveRequestTime, if set, is called with the response time of each request whose answer this
-	// VM saw acknowledged.
+	// ObserveRequestTime, if set, is called with the response time of each request whose
+	// answer this VM saw acknowledged.
 	ObserveRequestTime func(took time.Duration)
-	// Record receives the events for which Wanted returns true. Both are nil if no events
-	// are recorded.
+	// Record receives the events for which EventEnabled returns true. Both are nil if no
+	// events are recorded.
 	Record Recorder
-	// EventEnabled is called before an event is built, because building it is most of the cost of
-	// an event that is not recorded.
+	// EventEnabled is called before an event is built, because building it is most of the
+	// cost of an event that is not recorded.
 	EventEnabled func(now time.Time, kind EventKind) bool
 }
 
@@ -68,8 +68,8 @@
 	// readyChan is closed once flows can be placed. The router stays ready from then on.
 	readyChan chan struct{}
 
-	// loadsLock is held while Loads lists the active targets.
-	loadsLock sync.Mutex
+	// reportsLock is held while Reports lists the active targets.
+	reportsLock sync.Mutex
 	// changeLock is held while the snapshot is replaced.
 	changeLock sync.Mutex
 	// randLock guards Options.Rand.
@@ -140,15 +140,15 @@
 	}
 }
 
-// ReregistrationGrace is how long the store may lack registrations and operator changes after it
-// becomes reachable again: about 2 s until a live target renews its registration, plus the
-// time to distribute the change.
+// ReregistrationGrace is how long the store may lack registrations and operator changes
+// after it becomes reachable again: about 2 s until a live target renews its registration,
+// plus the time to distribute the change.
 const ReregistrationGrace = 2500 * time.Millisecond
 
-// StoreReconnected records that the store has just become reachable again. Targets that could not
-// renew their registrations for long enough are missing from the store at first although
-// they are alive. Without a grace period most targets of every service would seem gone at
-// once, and callers would be refused.
+// StoreReconnected records that the store has just become reachable again. Targets that
+// could not renew their registrations for long enough are missing from the store at first
+// although they are alive. Without a grace period most targets of every service would seem
+// gone at once, and callers would be refused.
 func (r *Router) StoreReconnected(now time.Time) {
 	r.changeLock.Lock()
 	defer r.changeLock.Unlock()
@@ -158,8 +158,8 @@
 }
 
 // StoreRestored records that the store was restored from a backup; call it instead of
-// StoreBack. The restored store may also lack the latest changes of targets: a draining
-// target is registered as ready, and a target that is gone is registered again.
+// StoreReconnected. The restored store may also lack the latest changes of targets: a
+// draining target is registered as ready, and a target that is gone is registered again.
 func (r *Router) StoreRestored(now time.Time) {
 	r.StoreReconnected(now)
 	r.changeLock.Lock()
@@ -169,21 +169,21 @@
 	r.current.Store(&next)
 }
 
-// SetReports sets what other VMs report of targets, and the number of VMs heard from in each
-// data centre. Targets that are not in others keep their previous values.
+// SetReports sets what other VMs report of targets, and the number of VMs heard from in
+// each data centre. Targets that are not in reports keep their previous values.
 //
 // A data centre from which no VM is heard counts as unreachable. Behind a partition its
 // targets would seem idle, since no VM reports the requests sent to them, and each new flow
 // to them would be lost.
-func (r *Router) SetReports(now time.Time, others map[baobabstep.TargetID]baobabstep.TargetLoad, heard map[string]int) {
+func (r *Router) SetReports(now time.Time, reports map[baobabstep.TargetID]baobabstep.TargetLoad, heard map[string]int) {
 	r.vmsHeard.Store(&heard)
 	targets := r.current.Load().targets
-	for _, id := range slices.Sorted(maps.Keys(others)) { // sorted, so that events are recorded in a deterministic order
+	for _, id := range slices.Sorted(maps.Keys(reports)) { // sorted, so that events are recorded in a deterministic order
 		t := targets[id]
 		if t == nil {
 			continue
 		}
-		report := r.applicableReport(others[id])
+		report := r.applicableReport(reports[id])
 		if t.load.setReport(report) {
 			r.noteHeardAgain(now, t)
 		}
@@ -194,7 +194,7 @@
 }
 
 // TakeNewTargets returns the targets that were added or restarted since the previous call.
-// Reports that SetOthers received for them earlier have not been applied.
+// Reports that SetReports received for them earlier have not been applied.
 func (r *Router) TakeNewTargets() []baobabstep.TargetID { return r.current.Load().newTargets.take() }
 
 // vmCount returns the number of live VMs in the data centre, including this one.
@@ -218,8 +218,8 @@
 // and the answers and unanswered flows that it observed. Targets with nothing to report are
 // omitted.
 func (r *Router) Reports(now time.Time) []baobabstep.TargetLoad {
-	r.loadsLock.Lock()
-	defer r.loadsLock.Unlock()
+	r.reportsLock.Lock()
+	defer r.reportsLock.Unlock()
 	s := r.current.Load()
 	ids := s.active.take()
 	list := make([]baobabstep.TargetLoad, 0, len(ids))
--- a/core/token/snapshot.go
+++ b/core/token/snapshot.go
@@ -27,8 +27,8 @@
 	// active are the targets that may have something to report to other VMs; all snapshots
 	// of a router share the set.
 	active *targetSet
-	// newTargets are the targets that Router.Appeared returns next; all snapshots of a
-	// router share the set.
+	// newTargets are the targets that Router.TakeNewTargets returns next; all snapshots of
+	// a router share the set.
 	newTargets *targetSet
 	// evacuated names the data centres whose targets get no new flows.
 	evacuated map[string]bool
--- a/core/token/trouble.go
+++ b/core/token/trouble.go
@@ -30,11 +30,12 @@
 	}
 }
 
-// UrgentReportsPending returns a channel that holds a value while Troubles has reports.
+// UrgentReportsPending returns a channel that holds a value while TakeUrgentReports has
+// reports.
 func (r *Router) UrgentReportsPending() <-chan struct{} { return r.urgentReports.pending }
 
-// TakeUrgentReports returns reports on the targets that, since the last call, left a flow unanswered
-// or were heard from although other VMs report them as silent.
+// TakeUrgentReports returns reports on the targets that, since the last call, left a flow
+// unanswered or were heard from although other VMs report them as silent.
 func (r *Router) TakeUrgentReports(now time.Time) (list []baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
 	for _, id := range r.urgentReports.take() {
@@ -47,8 +48,8 @@
 	return list
 }
 
-// SetSilenceReports sets other VMs' reports on the silence of some targets; their other reports
-// stay as they are.
+// SetSilenceReports sets other VMs' reports on the silence of some targets; their other
+// reports stay as they are.
 func (r *Router) SetSilenceReports(now time.Time, reports map[baobabstep.TargetID]baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
 	for _, id := range slices.Sorted(maps.Keys(reports)) { // sorted, because avoidIfRefusing draws a random number for each
