--- a/cmd/baobabstepd/main.go
+++ b/cmd/baobabstepd/main.go
@@ -100,7 +100,7 @@
 func reduceGCPercentAfterStart(ctx context.Context, node *entry.Node) {
 	select {
 	case <-ctx.Done():
-	case <-node.Known():
+	case <-node.RoutesKnown():
 	}
 	debug.SetGCPercent(gcPercent)
 }
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	return entry.New(entry.Options{
-		Settings: settings, Logger: logger, Clock: clock, Directory: store, Segments: segments, Messages: messages, LogLimits: logWriter,
+		Settings: settings, Logger: logger, Clock: clock, Directory: store, Segments: segments, Messages: messages, LogLimiter: logWriter,
 		ReadyHandler: platform.ReadyHandler, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}), nil
 }
--- a/entry/belief.go
+++ b/entry/belief.go
@@ -19,7 +19,7 @@
 type stateCache struct {
 	router *token.Router
 	log    log.Interface
-	limits LogLimits
+	limits LogLimiter
 	// outdatedCount counts updates that were older than the cached state, by source.
 	outdatedCount map[string]uint64
 
@@ -70,7 +70,7 @@
 	revisionFromCopy bool
 }
 
-func newStateCache(router *token.Router, logger log.Interface, limits LogLimits) *stateCache {
+func newStateCache(router *token.Router, logger log.Interface, limits LogLimiter) *stateCache {
 	return &stateCache{
 		router: router, log: logger, limits: limits, outdatedCount: make(map[string]uint64), restoredSignal: make(chan struct{}, 1),
 		targets: heartbeat.NoRegistrations(),
--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -172,7 +172,7 @@
 	vm := &runningVM{log: new(logBuffer), ended: make(chan error, 1)}
 	lines := logs.New(vm.log)
 	vm.node = entry.New(entry.Options{
-		Settings: s, Logger: &log.Logger{Handler: jsonlog.New(lines), Level: log.InfoLevel}, LogLimits: lines,
+		Settings: s, Logger: &log.Logger{Handler: jsonlog.New(lines), Level: log.InfoLevel}, LogLimiter: lines,
 		Clock: wallClock{}, Directory: store, Segments: []baobabstep.Segments{sockets[0]}, Messages: messages,
 		ReadyHandler: platform.ReadyHandler, Rand: rand.New(rand.NewPCG(uint64(n), 1)),
 	})
--- a/entry/logging.go
+++ b/entry/logging.go
@@ -16,8 +16,8 @@
 // malformed segments.
 const reportInterval = time.Second
 
-// LogLimits limits the log lines of each class.
-type LogLimits interface {
+// LogLimiter limits the log lines of each class.
+type LogLimiter interface {
 	// Wanted reports whether one more line of a class may be written.
 	Wanted(now time.Time, class string) bool
 	// Dropped returns the number of lines dropped since the last call, by class.
@@ -26,7 +26,7 @@
 
 // wantsEvent reports whether the router's next event of a kind will be logged.
 func (n *Node) wantsEvent(now time.Time, kind token.EventKind) bool {
-	return n.options.LogLimits.Wanted(now, kind.String())
+	return n.options.LogLimiter.Wanted(now, kind.String())
 }
 
 // logEvent logs a decision of the router with the inputs that it depends on.
@@ -81,7 +81,7 @@
 		return
 	}
 	n.droppedReportedAt = now
-	dropped := n.options.LogLimits.Dropped()
+	dropped := n.options.LogLimiter.Dropped()
 	if len(dropped) == 0 {
 		return
 	}
--- a/entry/logging_bench_test.go
+++ b/entry/logging_bench_test.go
@@ -105,7 +105,7 @@
 	batch  []baobabstep.Segment
 }
 
-func newForwarder(b *testing.B, limits LogLimits, logger *log.Logger) *forwarder {
+func newForwarder(b *testing.B, limits LogLimiter, logger *log.Logger) *forwarder {
 	b.Helper()
 	n := newTestNode(new(countingMessages), logger, limits)
 	n.router.SetTable(benchEpoch, testTable())
--- a/entry/model_test.go
+++ b/entry/model_test.go
@@ -222,7 +222,7 @@
 			PeerAddress: modelAddress(vm.index), Seeds: []netip.AddrPort{modelAddress(0), modelAddress(1)},
 			Token: setting.TokenSettings{ConfigApplyMS: 3000, DrainMS: 3000, FlowMaxS: 60, StopGraceS: 6},
 		},
-		Logger: &log.Logger{Handler: discard.New()}, LogLimits: dropModelLines{}, Clock: m,
+		Logger: &log.Logger{Handler: discard.New()}, LogLimiter: dropModelLines{}, Clock: m,
 		Directory: modelDirectory{m.store, vm}, Messages: modelMessages{m, modelAddress(vm.index)},
 		Rand: rand.New(rand.NewPCG(m.starts, 7)),
 	})
--- a/entry/node.go
+++ b/entry/node.go
@@ -60,9 +60,9 @@
 	// Segments has one value for each forwarding goroutine.
 	Segments []baobabstep.Segments
 	// Messages sends and receives the messages between VMs.
-	Messages Messages
-	// LogLimits limits the lines that are written to Logger.
-	LogLimits LogLimits
+	Messages MessageConn
+	// LogLimiter limits the lines that are written to Logger.
+	LogLimiter LogLimiter
 	// ReadyHandler returns the HTTP handler of the readiness check.
 	ReadyHandler func(ready func() error) http.Handler
 	// Rand seeds the random generators of the components.
@@ -115,7 +115,7 @@
 		Record:             n.logEvent,
 		EventEnabled:       n.wantsEvent,
 	})
-	n.cache = newStateCache(n.router, n.log, o.LogLimits)
+	n.cache = newStateCache(n.router, n.log, o.LogLimiter)
 	n.board = heartbeat.New(n.startedAt, heartbeat.Options{
 		Self: o.Settings.VM().ID, DataCentre: o.Settings.DataCentre, Address: o.Settings.PeerAddress,
 		Life: uint64(n.startedAt.UnixMilli()), Seeds: o.Settings.Seeds,
@@ -133,8 +133,8 @@
 // Done returns a channel that is closed when Run has returned and all goroutines have ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Known returns a channel that is closed once the VM can place flows.
-func (n *Node) Known() <-chan struct{} { return n.router.ReadyChan() }
+// RoutesKnown returns a channel that is closed once the VM can place flows.
+func (n *Node) RoutesKnown() <-chan struct{} { return n.router.ReadyChan() }
 
 // Ready returns the reason why the fabric should not send packets to the VM, or nil if it
 // should.
--- a/entry/node_help_test.go
+++ b/entry/node_help_test.go
@@ -12,15 +12,15 @@
 )
 
 // newTestNode returns a VM of dc-0 without running it.
-func newTestNode(messages Messages, logger log.Interface, limits LogLimits) *Node {
+func newTestNode(messages MessageConn, logger log.Interface, limits LogLimiter) *Node {
 	return New(Options{
-		Settings:  &setting.Settings{Name: "vm-0", Region: "r", DataCentre: "dc-0", PeerAddress: peerAddress(0)},
-		LogLimits: limits, Logger: logger, Messages: messages, Rand: rand.New(rand.NewPCG(1, 2)), Clock: fixedClock{},
+		Settings:   &setting.Settings{Name: "vm-0", Region: "r", DataCentre: "dc-0", PeerAddress: peerAddress(0)},
+		LogLimiter: limits, Logger: logger, Messages: messages, Rand: rand.New(rand.NewPCG(1, 2)), Clock: fixedClock{},
 	})
 }
 
 // newQuietNode returns a test node that logs nothing.
-func newQuietNode(messages Messages) *Node {
+func newQuietNode(messages MessageConn) *Node {
 	return newTestNode(messages, &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}, dropAllLines{})
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -32,8 +32,8 @@
 	servePriority = 250 * time.Millisecond
 )
 
-// Messages sends and receives the messages between VMs.
-type Messages interface {
+// MessageConn sends and receives the messages between VMs.
+type MessageConn interface {
 	// SetSecret sets the secret that authenticates messages. Until it is called, no message is
 	// sent or accepted.
 	SetSecret(secret []byte) error
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -48,8 +48,8 @@
 func (f *dataCentreFleet) newNode(i int) *Node {
 	at := peerAddress(3 * i)
 	return New(Options{
-		Settings:  &setting.Settings{Name: fmt.Sprintf("vm-%d", i), Region: "r", DataCentre: "dc-0", PeerAddress: at, Token: setting.TokenSettings{DrainMS: 8000}},
-		LogLimits: dropAllLines{}, Logger: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
+		Settings:   &setting.Settings{Name: fmt.Sprintf("vm-%d", i), Region: "r", DataCentre: "dc-0", PeerAddress: at, Token: setting.TokenSettings{DrainMS: 8000}},
+		LogLimiter: dropAllLines{}, Logger: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 		Messages: &fleetMessages{fleet: f, from: at}, Rand: rand.New(rand.NewPCG(1, uint64(i))), Clock: f,
 	})
 }
