--- a/core/answer/sizes.go
+++ b/core/answer/sizes.go
@@ -6,63 +6,62 @@
 )
 
 const (
-	// bucketsPerOctave is the resolution of sizes: 9 %.
+	// bucketsPerOctave gives the buckets a width of 9 %.
 	bucketsPerOctave = 8
-	// smallestSize is that of the first bucket, in bytes; the last one is of
-	// 4 MB and more.
-	smallestSize = 32
-	bucketCount  = 17*bucketsPerOctave + 1
-	// enoughSizes is the number of answers that have to be seen on a route
-	// before any of them is called short. A quantile of fewer is a guess.
-	enoughSizes = 30
-	// mostSizes is the number of answers after which the weight of all before
-	// is halved: a route that has changed its answers is known anew after some
-	// thousand.
-	mostSizes = 1024
-	// usualQuantile is the part of the answers that may be shorter than usual.
-	// Where more are, short answers are what the route usually gives: with a
-	// quarter of the targets failing altogether, none would be noticed.
-	usualQuantile = 0.25
-	// shortRatio is how short an answer is that fails, against the usual. The
-	// content of an answer varies with what is asked; errors say next to
-	// nothing. Measured on three routes: errors 150 to 199 bytes, the shortest
-	// other answers 470, 750 and 800.
+	// minBucketSize is the upper limit of the first bucket, in bytes. The last bucket
+	// holds sizes of 4 MB and more.
+	minBucketSize = 32
+	bucketCount   = 17*bucketsPerOctave + 1
+	// minSizeSamples is the number of answers on a route before any of them is reported as
+	// short. Quantiles of fewer answers are unreliable.
+	minSizeSamples = 30
+	// maxSizeWeight is the total weight at which all weights are halved. After a change of
+	// a route's answers, the histogram follows within some thousand answers.
+	maxSizeWeight = 1024
+	// typicalQuantile is the quantile that is the typical size, and so the largest share
+	// of short answers that is not typical for a route. With a quarter of the targets
+	// failing altogether, none of them is noticed.
+	typicalQuantile = 0.25
+	// shortRatio is the fraction of the typical size below which an answer is short. The
+	// size of regular answers varies with the request, and errors have almost no content.
+	// On three routes, errors take 150 to 199 bytes, and the shortest other answers 470,
+	// 750 and 800.
 	shortRatio = 0.5
-	// refreshEvery is the number of answers after which the usual size is
-	// worked out anew: 137 additions.
-	refreshEvery = 16
+	// refreshInterval is the number of answers after which the typical size is recomputed,
+	// which takes 137 additions.
+	refreshInterval = 16
 )
 
-// Sizes learns how long the answers of one route usually are. It is safe for
-// concurrent use; the zero value knows nothing.
+// Sizes is a histogram of the answer sizes of one route, in which older answers have less
+// weight. It is safe for concurrent use. The zero value is empty.
 type Sizes struct {
-	mu      sync.Mutex
-	counts  [bucketCount]float32
-	total   float32
-	added   int
-	usual   float64
-	refresh int
+	mu           sync.Mutex
+	counts       [bucketCount]float32
+	total        float32
+	added        int
+	typical      float64
+	sinceRefresh int
 }
 
-// Add takes in the size of an answer in bytes, and tells whether it is much
-// shorter than usual.
+// Add adds the size of an answer in bytes. It reports whether the answer is much shorter
+// than the typical one.
 func (s *Sizes) Add(bytes uint32) (short bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.counts[bucket(bytes)]++
+	s.counts[bucketIndex(bytes)]++
 	s.total++
 	s.added++
-	if s.total >= mostSizes {
-		s.halve()
+	if s.total >= maxSizeWeight {
+		s.halveWeights()
 	}
-	if s.refresh++; s.refresh >= refreshEvery || s.added == enoughSizes {
-		s.refresh = 0
-		s.usual = s.quantile(usualQuantile)
+	if s.sinceRefresh++; s.sinceRefresh >= refreshInterval || s.added == minSizeSamples {
+		s.sinceRefresh = 0
+		s.typical = s.quantile(typicalQuantile)
 	}
-	return s.added >= enoughSizes && float64(bytes) < shortRatio*s.usual
+	return s.added >= minSizeSamples && float64(bytes) < shortRatio*s.typical
 }
 
-func (s *Sizes) halve() {
+func (s *Sizes) halveWeights() {
 	s.total = 0
 	for i := range s.counts {
 		s.counts[i] /= 2
@@ -70,20 +69,21 @@
 	}
 }
 
-// quantile returns the lower end of the bucket in which a part of the sizes ends.
+// quantile returns the lower limit of the bucket that contains the given quantile, in
+// bytes.
 func (s *Sizes) quantile(part float32) float64 {
 	sum := float32(0)
 	for i, count := range s.counts {
 		if sum += count; sum > part*s.total {
-			return smallestSize * math.Exp2(float64(i)/bucketsPerOctave)
+			return minBucketSize * math.Exp2(float64(i)/bucketsPerOctave)
 		}
 	}
 	return 0
 }
 
-func bucket(bytes uint32) int {
-	if bytes <= smallestSize {
+func bucketIndex(bytes uint32) int {
+	if bytes <= minBucketSize {
 		return 0
 	}
-	return min(int(bucketsPerOctave*math.Log2(float64(bytes)/smallestSize)), bucketCount-1)
+	return min(int(bucketsPerOctave*math.Log2(float64(bytes)/minBucketSize)), bucketCount-1)
 }
--- a/core/answer/tally.go
+++ b/core/answer/tally.go
@@ -9,144 +9,146 @@
 
 //go:generate stringer -type=Outcome -linecomment -output=outcome_string.go
 
-// Outcome is what became of a request, as far as a VM can tell.
+// Outcome is the result of a request, as far as a VM can tell.
 type Outcome uint8
 
-// Outcomes. The comment of each is its name in logs and metrics.
+// Outcomes. The line comment of each is its name in logs and metrics.
 const (
-	// Answered: an answer of about the usual size came.
+	// Answered: an answer of about the typical size arrived.
 	Answered Outcome = iota // answered
-	// Short: the answer was much shorter than the route's usually are.
+	// Short: the answer was much shorter than is typical for the route.
 	Short // short
-	// Unanswered: none came for many times the usual time.
+	// Unanswered: no answer arrived within many times the usual response time.
 	Unanswered // unanswered
-	// Refused: nothing came after the first segment of the flow.
+	// Refused: nothing arrived after the first segment of the flow.
 	Refused // refused
 	NumOutcomes
 )
 
 const (
-	// window is the time over which outcomes count: long enough for some dozens of
-	// answers of a target, which tell one failure in five from none, and short
-	// enough that what it answered before it began to fail does not hide it.
+	// window is the time constant with which outcomes decay. It covers some dozens of
+	// answers of a target, enough to tell a failure rate of one in five from none. It is
+	// short enough that successes before a failure do not hide it.
 	window = 2 * time.Second
-	// callerPause is the time in which a caller's failures at a target count
-	// once: one heavy caller, or one that lies about what it received, is not
-	// many.
-	callerPause = 200 * time.Millisecond
-	// callersKept is the number of callers remembered for that.
-	callersKept = 8
+	// callerInterval is the time in which the failures of one caller at a target count
+	// once. It limits the effect of a caller that sends many requests or false
+	// acknowledgements.
+	callerInterval = 200 * time.Millisecond
+	// maxRecentFailures is the number of failures whose callers are remembered.
+	maxRecentFailures = 8
 )
 
-// Sample is outcomes at a target, weighted by age.
+// Sample holds the outcomes at a target, weighted by age.
 type Sample struct {
-	// Answers are all of them, Failed those other than Answered.
+	// Answers counts all outcomes, Failed those other than Answered.
 	Answers, Failed float64
-	// Took is the mean time of those that are Answered.
+	// Took is the mean response time of the requests with outcome Answered.
 	Took time.Duration
 }
 
-// Plus returns the outcomes of two samples together.
+// Plus returns the combination of two samples.
 func (s Sample) Plus(o Sample) Sample {
-	good, others := s.Answers-s.Failed, o.Answers-o.Failed
+	succeeded, others := s.Answers-s.Failed, o.Answers-o.Failed
 	sum := Sample{Answers: s.Answers + o.Answers, Failed: s.Failed + o.Failed}
-	if all := good + others; all > 0 {
-		sum.Took = time.Duration((float64(s.Took)*good + float64(o.Took)*others) / all)
+	if all := succeeded + others; all > 0 {
+		sum.Took = time.Duration((float64(s.Took)*succeeded + float64(o.Took)*others) / all)
 	}
 	return sum
 }
 
-// Sum is a sum of outcomes that fade. It is not safe for concurrent use; the zero
-// value is empty.
+// Sum counts outcomes, whose weight decays exponentially. It is not safe for concurrent
+// use. The zero value is empty.
 type Sum struct {
 	answers, failed float64
-	// seconds is the sum of the times of requests that were answered.
-	seconds float64
-	at      time.Time
+	// totalSeconds is the sum of the response times of the answered requests.
+	totalSeconds float64
+	updatedAt    time.Time
 }
 
-// Add counts an outcome, and the time that the request took if it was answered.
+// Add counts an outcome. took is the response time if the request was answered.
 func (s *Sum) Add(now time.Time, outcome Outcome, took time.Duration) {
-	s.fade(now)
+	s.decay(now)
 	s.answers++
 	if outcome == Answered {
-		s.seconds += took.Seconds()
+		s.totalSeconds += took.Seconds()
 	} else {
 		s.failed++
 	}
 }
 
-func (s *Sum) fade(now time.Time) {
-	left := fade.Left(now.Sub(s.at), window)
+// decay reduces all weights to their values at the given time.
+func (s *Sum) decay(now time.Time) {
+	left := fade.Left(now.Sub(s.updatedAt), window)
 	s.answers *= left
 	s.failed *= left
-	s.seconds *= left
-	if now.After(s.at) {
-		s.at = now
+	s.totalSeconds *= left
+	if now.After(s.updatedAt) {
+		s.updatedAt = now
 	}
 }
 
-// Sample returns what was counted, as it weighs now.
+// Sample returns the counts at the given time.
 func (s *Sum) Sample(now time.Time) Sample {
-	s.fade(now)
+	s.decay(now)
 	sample := Sample{Answers: s.answers, Failed: s.failed}
-	if good := s.answers - s.failed; good > minWeight {
-		sample.Took = time.Duration(s.seconds / good * float64(time.Second))
+	if succeeded := s.answers - s.failed; succeeded > minLatencyWeight {
+		sample.Took = time.Duration(s.totalSeconds / succeeded * float64(time.Second))
 	}
 	return sample
 }
 
-// Tally counts the outcomes at one target. It is not safe for concurrent use;
-// the zero value is empty.
+// Tally counts the outcomes at one target and limits the effect of single callers. It is
+// not safe for concurrent use. The zero value is empty.
 type Tally struct {
 	Sum
-	callers [callersKept]seen
-	next    int
+	recentFailures [maxRecentFailures]callerFailure
+	nextSlot       int
 }
 
-// seen is a caller whose failure was counted.
-type seen struct {
+// callerFailure is a counted failure of a caller.
+type callerFailure struct {
 	caller uint64
 	at     time.Time
 }
 
-// Add counts an outcome of a request of a caller, by its hash, and tells whether
-// it did: the failures of one caller count once in callerPause.
+// Add counts an outcome of a request of the caller with the given hash. It returns false
+// without counting if a failure of the same caller was counted within callerInterval.
 func (t *Tally) Add(now time.Time, outcome Outcome, caller uint64, took time.Duration) bool {
 	if outcome != Answered {
-		if t.counted(now, caller) {
+		if t.countedRecently(now, caller) {
 			return false
 		}
-		t.callers[t.next] = seen{caller, now}
-		t.next = (t.next + 1) % callersKept
+		t.recentFailures[t.nextSlot] = callerFailure{caller, now}
+		t.nextSlot = (t.nextSlot + 1) % maxRecentFailures
 	}
 	t.Sum.Add(now, outcome, took)
 	return true
 }
 
-// counted tells whether a failure of a caller was counted just now.
-func (t *Tally) counted(now time.Time, caller uint64) bool {
-	for _, s := range t.callers {
-		if s.caller == caller && !s.at.IsZero() && now.Sub(s.at) < callerPause {
+// countedRecently reports whether a failure of the caller was counted within
+// callerInterval.
+func (t *Tally) countedRecently(now time.Time, caller uint64) bool {
+	for _, s := range t.recentFailures {
+		if s.caller == caller && !s.at.IsZero() && now.Sub(s.at) < callerInterval {
 			return true
 		}
 	}
 	return false
 }
 
-// Callers is a set of callers, each a bit by its hash: two callers may share one
-// and count as one, so a set never has more callers than there are.
+// Callers is a set of callers, with one bit for each hash value modulo callerBits. Callers
+// that share a bit count as one, so that Count never returns too many.
 type Callers uint16
 
 // callerBits is the number of bits of Callers.
 const callerBits = 16
 
-// Count returns how many different callers the set has, at least.
+// Count returns the least number of different callers in the set.
 func (c Callers) Count() int { return bits.OnesCount16(uint16(c)) }
 
 // Callers returns the callers whose requests failed within the window.
 func (t *Tally) Callers(now time.Time) (set Callers) {
-	for _, s := range t.callers {
+	for _, s := range t.recentFailures {
 		if !s.at.IsZero() && now.Sub(s.at) < window {
 			set |= 1 << (s.caller % callerBits)
 		}
@@ -154,6 +156,6 @@
 	return set
 }
 
-// minWeight is the weight below which a time is that of nothing any more: a
-// hundredth of a request.
-const minWeight = 0.01
+// minLatencyWeight is the weight of answered requests, a hundredth of one, up to which no
+// mean response time is given.
+const minLatencyWeight = 0.01
--- a/core/fade/fade.go
+++ b/core/fade/fade.go
@@ -1,5 +1,6 @@
-// Package fade weighs what was seen by its age. What is seen now counts whole, and
-// less and less as time passes, so that no moment drops out at once.
+// Package fade implements exponential decay of weights by age. A new observation has full
+// weight, which then decreases continuously, so that no observation drops out of a window
+// at once.
 package fade
 
 import (
@@ -7,8 +8,8 @@
 	"time"
 )
 
-// Left returns the part of a weight that is left after some time has passed: 1 at
-// first, 1/e after the given window. Time that runs backwards changes nothing.
+// Left returns the factor by which a weight has decayed after some time: 1 at first, 1/e
+// after the window. It returns 1 if the time is negative.
 func Left(passed, window time.Duration) float64 {
 	if passed <= 0 {
 		return 1
--- a/core/heartbeat/alarm.go
+++ b/core/heartbeat/alarm.go
@@ -8,58 +8,59 @@
 )
 
 const (
-	// maxAlarmed bounds the targets of one alarm.
-	maxAlarmed = 16
-	// alarmFanout bounds the VMs that get an alarm. A data centre of 44 hears it
-	// whole; in a larger one each VM hears that part of what the others find.
+	// maxAlarmLoads limits the targets of one alarm.
+	maxAlarmLoads = 16
+	// alarmFanout limits the VMs that get an alarm. It reaches a whole data centre of 44
+	// VMs. In a larger one, each VM gets a part of the alarms.
 	alarmFanout = 48
-	// alarmRate and alarmBurst bound the bytes of a VM's alarms a second and at
-	// once: two alarms a second to a data centre of alarmFanout. What is over goes
-	// with the heartbeats.
+	// alarmRate, in bytes per second, and alarmBurst, in bytes, limit the alarms of a VM:
+	// two alarms per second to alarmFanout VMs. What exceeds the limit is sent with the
+	// next heartbeats.
 	alarmRate  = 8e3
 	alarmBurst = 16e3
 )
 
-// Alarm tells of targets that just left flows unanswered, or were heard of though
-// others found them silent. It goes at once to the whole data centre: in a large one
-// each VM meets a given target seldom, and none finds out alone. Told with the
-// heartbeats, what one found would come to the others after callers have waited for
-// their time limits.
+// Alarm reports targets that just left flows unanswered, or that were heard although other
+// VMs report them as silent. It is sent at once to the whole data centre. In a large one,
+// each VM sends few flows to a given target, so none detects a silent target alone. With
+// the next heartbeats the information would arrive after callers have waited for their
+// timeouts.
 type Alarm struct {
 	From baobabstep.VMID `cbor:"1,keyasint"`
-	// Life and Number are as in Heartbeat; both share one count.
+	// Life and Number are as in Heartbeat, and numbered together with the heartbeats.
 	Life   uint64 `cbor:"2,keyasint"`
 	Number uint64 `cbor:"3,keyasint"`
-	// Loads hold nothing but what is said of silence.
+	// Loads contain only the details about silence.
 	Loads Loads `cbor:"4,keyasint"`
 }
 
-// report is what a VM says of the silence of one target.
-type report struct {
+// silenceReport is what a VM reports about the silence of one target.
+type silenceReport struct {
 	silence baobabstep.Silence
-	// heardAt is when it heard of the target, zero if it does not say.
-	heardAt time.Time
+	// lastHeard is when the VM last received anything from the target; zero if not
+	// reported.
+	lastHeard time.Time
 }
 
-// makeReports returns what loads that came now say of silent targets; nil if
-// nothing.
-func makeReports(now time.Time, loads Loads) (reports map[baobabstep.TargetID]report) {
+// makeSilenceReports returns the silence reports in loads that were received now, or nil
+// if there are none.
+func makeSilenceReports(now time.Time, loads Loads) (reports map[baobabstep.TargetID]silenceReport) {
 	for _, l := range loads {
-		if !l.tellsSilence() {
+		if !l.hasSilence() {
 			continue
 		}
 		if reports == nil {
-			reports = make(map[baobabstep.TargetID]report)
+			reports = make(map[baobabstep.TargetID]silenceReport)
 		}
-		reports[l.Target] = l.report(now)
+		reports[l.Target] = l.silenceReport(now)
 	}
 	return reports
 }
 
-func (l Load) report(now time.Time) (r report) {
+func (l Load) silenceReport(now time.Time) (r silenceReport) {
 	ago := func(ms uint16) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	if l.HeardMS > 0 {
-		r.heardAt = ago(l.HeardMS)
+		r.lastHeard = ago(l.HeardMS)
 	}
 	if l.Unanswered > 0 {
 		r.silence = baobabstep.Silence{
@@ -69,84 +70,85 @@
 	return r
 }
 
-// addTo adds a report to what VMs say of the target together.
-func (r *report) addTo(sum *baobabstep.TargetLoad) {
+// addTo adds the report to the combined load of the target.
+func (r *silenceReport) addTo(sum *baobabstep.TargetLoad) {
 	if r.silence.Unanswered > 0 {
 		sum.Silence = append(sum.Silence, r.silence)
 	}
-	if r.heardAt.After(sum.HeardAt) {
-		sum.HeardAt = r.heardAt
+	if r.lastHeard.After(sum.HeardAt) {
+		sum.HeardAt = r.lastHeard
 	}
 }
 
-// Alarm returns alarms about targets of this VM to the others of its data centre;
-// none if it may not send as much now.
-func (b *Board) Alarm(now time.Time, troubles []baobabstep.TargetLoad) []Out {
+// Alarm returns alarms about silent targets for the VMs of the data centre, or none if the
+// rate limit is exceeded.
+func (b *Board) Alarm(now time.Time, silentTargets []baobabstep.TargetLoad) []Out {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	loads := MakeLoads(now, troubles, maxAlarmed)
-	to := b.hearers(now)
-	if len(loads) == 0 || len(to) == 0 {
+	loads := MakeLoads(now, silentTargets, maxAlarmLoads)
+	recipients := b.alarmRecipients(now)
+	if len(loads) == 0 || len(recipients) == 0 {
 		return nil
 	}
-	if !b.alarms.AllowN(now, len(to)*(alarmHead+len(loads)*alarmedBytes)) {
+	if !b.alarmLimiter.AllowN(now, len(recipients)*(alarmHeaderBytes+len(loads)*alarmLoadBytes)) {
 		return nil
 	}
 	b.number++
-	m := &Message{Alarm: &Alarm{From: b.o.Self, Life: b.o.Life, Number: b.number, Loads: loads}}
-	outs := make([]Out, 0, len(to))
-	for _, address := range to {
+	m := &Message{Alarm: &Alarm{From: b.options.Self, Life: b.options.Life, Number: b.number, Loads: loads}}
+	outs := make([]Out, 0, len(recipients))
+	for _, address := range recipients {
 		outs = append(outs, Out{To: address, Message: m})
 	}
 	return outs
 }
 
-// What an alarm takes in bytes, authentication and headers of datagrams included.
+// Sizes of an alarm in bytes, including authentication and datagram headers.
 const (
-	alarmHead    = 90
-	alarmedBytes = 14
+	alarmHeaderBytes = 90
+	alarmLoadBytes   = 14
 )
 
-// hearers returns the VMs that get an alarm.
-func (b *Board) hearers(now time.Time) []netip.AddrPort {
-	to := b.neighbours(now)
+// alarmRecipients returns the VMs that get an alarm.
+func (b *Board) alarmRecipients(now time.Time) []netip.AddrPort {
+	to := b.liveNearAddresses(now)
 	if len(to) > alarmFanout {
-		b.o.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
+		b.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
 		to = to[:alarmFanout]
 	}
 	return to
 }
 
-// HandleAlarm takes in an alarm and returns what VMs say now, together, of the
-// targets that it names. It is left if its sender was not heard yet, or is in
-// another life, or has said something newer.
+// HandleAlarm processes an alarm and returns what all VMs now report about the targets in
+// it. The alarm is ignored if no heartbeat of its sender is known, if the sender is in
+// another data centre or another incarnation, or if a later message of it is known.
 func (b *Board) HandleAlarm(now time.Time, from netip.AddrPort, a *Alarm) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[from]
 	switch {
-	case p == nil || p.last == nil || p.last.DataCentre != b.o.DataCentre:
+	case p == nil || p.last == nil || p.last.DataCentre != b.options.DataCentre:
 		return nil
-	case a.From != p.last.From || a.Life != p.last.Life || a.Number <= max(p.alarmed, p.last.Number):
+	case a.From != p.last.From || a.Life != p.last.Life || a.Number <= max(p.alarmSequence, p.last.Number):
 		return nil
 	}
-	p.alarmed = a.Number
+	p.alarmSequence = a.Number
 	if p.reports == nil {
-		p.reports = make(map[baobabstep.TargetID]report)
+		p.reports = make(map[baobabstep.TargetID]silenceReport)
 	}
-	said := make(map[baobabstep.TargetID]baobabstep.TargetLoad, len(a.Loads))
+	combined := make(map[baobabstep.TargetID]baobabstep.TargetLoad, len(a.Loads))
 	for _, l := range a.Loads {
-		p.reports[l.Target] = l.report(now)
-		b.changed[l.Target] = struct{}{}
-		said[l.Target] = b.silence(now, l.Target)
+		p.reports[l.Target] = l.silenceReport(now)
+		b.changedTargets[l.Target] = struct{}{}
+		combined[l.Target] = b.combinedSilence(now, l.Target)
 	}
-	return said
+	return combined
 }
 
-// silence returns what live VMs of the data centre say of the silence of a target.
-func (b *Board) silence(now time.Time, id baobabstep.TargetID) (sum baobabstep.TargetLoad) {
+// combinedSilence returns the silence of a target as reported by the live VMs of the data
+// centre.
+func (b *Board) combinedSilence(now time.Time, id baobabstep.TargetID) (sum baobabstep.TargetLoad) {
 	for _, p := range b.peers {
-		if r, ok := p.reports[id]; ok && b.live(now, p) && p.last.DataCentre == b.o.DataCentre {
+		if r, ok := p.reports[id]; ok && b.isLive(now, p) && p.last.DataCentre == b.options.DataCentre {
 			r.addTo(&sum)
 		}
 	}
--- a/core/heartbeat/ask.go
+++ b/core/heartbeat/ask.go
@@ -7,41 +7,42 @@
 	"baobabstep"
 )
 
-// IsNear tells whether the VM at an address stands in the own data centre.
+// IsNear reports whether the VM at an address is in the own data centre.
 func (b *Board) IsNear(address netip.AddrPort) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[address]
-	return p != nil && p.last != nil && p.last.DataCentre == b.o.DataCentre
+	return p != nil && p.last != nil && p.last.DataCentre == b.options.DataCentre
 }
 
-// Rank is the place of a VM among those that may read the store.
+// Rank is the position of a VM in the order in which VMs should read the store.
 type Rank struct {
-	// Near is the number of VMs of the own data centre that come before it.
+	// Near is the number of VMs of the own data centre that precede it.
 	Near int
-	// Far is the number of other data centres whose first VM comes before it.
+	// Far is the number of other data centres whose first VM precedes it.
 	Far int
 }
 
-// First tells whether no VM comes before.
+// First reports whether no VM precedes it.
 func (r Rank) First() bool { return r == Rank{} }
 
-// Rank returns the place of this VM. VMs that leave come before nobody, and VMs
-// that cannot read the store before none that can; blind is set if this one
-// cannot. Of those that cannot, too, only a few should go on trying.
-func (b *Board) Rank(now time.Time, blind bool) Rank {
+// Rank returns the rank of this VM, in the order of VM identifiers. Leaving VMs are not
+// counted. VMs that cannot read the store rank after all that can; storeUnreadable is set
+// if this VM cannot. They have ranks among each other, so that only a few of them keep
+// trying.
+func (b *Board) Rank(now time.Time, storeUnreadable bool) Rank {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var rank Rank
 	before := make(map[string]bool)
 	for _, p := range b.peers {
-		if !b.live(now, p) || p.last.Leaving || p.last.Blind && !blind {
+		if !b.isLive(now, p) || p.last.Leaving || p.last.Blind && !storeUnreadable {
 			continue
 		}
-		if p.last.From >= b.o.Self && p.last.Blind == blind {
+		if p.last.From >= b.options.Self && p.last.Blind == storeUnreadable {
 			continue
 		}
-		if p.last.DataCentre == b.o.DataCentre {
+		if p.last.DataCentre == b.options.DataCentre {
 			rank.Near++
 			continue
 		}
@@ -51,8 +52,8 @@
 	return rank
 }
 
-// Live returns the number of live VMs of each data centre, this one not counted.
-// Another data centre of which no VM was heard for FarSilent has none.
+// Live returns the number of live VMs of each data centre, without this one. A remote data
+// centre that was silent for its timeout (see farTimeout) is left out.
 func (b *Board) Live(now time.Time) map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +61,7 @@
 	stats := make(map[string]*farStats)
 	total := 0
 	for _, p := range b.peers {
-		if !b.live(now, p) {
+		if !b.isLive(now, p) {
 			continue
 		}
 		dc := p.last.DataCentre
@@ -72,7 +73,7 @@
 		stats[dc].add(p)
 	}
 	for dc, s := range stats {
-		if dc != b.o.DataCentre && now.Sub(s.last) >= b.farSilent(s, total) {
+		if dc != b.options.DataCentre && now.Sub(s.latestHeartbeat) >= b.farTimeout(s, total) {
 			delete(live, dc)
 		}
 	}
@@ -82,8 +83,8 @@
 // farStats summarizes the heartbeats from the live VMs of another data centre.
 type farStats struct {
 	vms int
-	// last is when the latest heartbeat was received.
-	last time.Time
+	// latestHeartbeat is when the latest heartbeat was received.
+	latestHeartbeat time.Time
 	// rate is the expected number of heartbeats a second from the VMs that report
 	// their turn.
 	rate float64
@@ -98,46 +99,47 @@
 	} else {
 		s.withoutTurn++
 	}
-	if p.heard.After(s.last) {
-		s.last = p.heard
+	if p.lastHeard.After(s.latestHeartbeat) {
+		s.latestHeartbeat = p.lastHeard
 	}
 }
 
-// farGaps is how many times the mean time between two heartbeats from another
-// data centre it may be silent.
-const farGaps = 4
+// farTimeoutGaps is the timeout of another data centre in multiples of the mean time
+// between two heartbeats from it.
+const farTimeoutGaps = 4
 
-// farSilent returns the silence after which another data centre is out of reach, with
-// total live peers in all data centres. It grows with the mean time between heartbeats,
-// which is long for a small data centre in a large fleet. A VM that does not report its
-// turn is assumed to send to FarFanout VMs of other data centres every Far.
-func (b *Board) farSilent(s *farStats, total int) time.Duration {
+// farTimeout returns the silence after which another data centre counts as unreachable,
+// with total live peers in all data centres. It grows with the mean time between
+// heartbeats, which is long for a small data centre in a large fleet. A VM that does not
+// report its turn is assumed to send to FarFanout VMs of other data centres every Far.
+func (b *Board) farTimeout(s *farStats, total int) time.Duration {
 	elsewhere := max(1, total+1-s.vms)
-	rate := s.rate + float64(s.withoutTurn*min(b.o.FarFanout, elsewhere))/(b.o.Far.Seconds()*float64(elsewhere))
-	return max(b.o.FarSilent, time.Duration(farGaps/rate*float64(time.Second)))
+	rate := s.rate + float64(s.withoutTurn*min(b.options.FarFanout, elsewhere))/(b.options.Far.Seconds()*float64(elsewhere))
+	return max(b.options.FarSilent, time.Duration(farTimeoutGaps/rate*float64(time.Second)))
 }
 
-// Newer returns a live VM that holds a newer version with another content, one
-// of the own data centre if there is one; of several with the newest, any.
+// Newer returns a live VM that holds a newer version with different content. It prefers
+// VMs of the own data centre. Of several with the newest version it returns a random one,
+// so that requests are spread over them.
 func (b *Board) Newer(now time.Time, kind Kind, revision baobabstep.Revision, sum uint64) (from netip.AddrPort, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, near := range []bool{true, false} {
 		same := 0
-		for _, p := range b.sorted(near) {
+		for _, p := range b.peersByAddress(near) {
 			held := Held{}
-			if b.live(now, p) {
+			if b.isLive(now, p) {
 				held = p.last.HeldOf(kind)
 			}
-			said := held.Revision()
+			heldRevision := held.Revision()
 			switch {
-			case said.Before(revision) || said == revision && !ok || held.Sum == sum:
+			case heldRevision.Before(revision) || heldRevision == revision && !ok || held.Sum == sum:
 				continue
-			case revision.Before(said):
+			case revision.Before(heldRevision):
 				same = 0
 			}
 			same++
-			if revision, ok = said, true; b.o.Rand.IntN(same) == 0 {
+			if revision, ok = heldRevision, true; b.options.Rand.IntN(same) == 0 {
 				from = p.address
 			}
 		}
--- a/core/heartbeat/board.go
+++ b/core/heartbeat/board.go
@@ -14,38 +14,37 @@
 	"baobabstep/core/quota"
 )
 
-// Options are the settings of a [Board]. Zero values stand for the defaults
-// given with each field.
+// Options are the settings of a [Board]. A zero value selects the default, which is given
+// in parentheses.
 type Options struct {
 	Self       baobabstep.VMID
 	DataCentre string
 	Address    netip.AddrPort
-	// Life is when this VM started, in milliseconds.
+	// Life is the incarnation number: the start time of this VM, in milliseconds.
 	Life uint64
-	// Seeds are addresses of VMs to greet first.
+	// Seeds are the addresses of the VMs that are contacted first.
 	Seeds []netip.AddrPort
 	Rand  *rand.Rand
 
-	// Near and Far are the times between two heartbeats to a VM of the own
-	// and of another data centre (200 ms, 500 ms). Bytes between data
-	// centres are paid for.
+	// Near and Far are the times between two heartbeats to a VM of the own and of another
+	// data centre (200 ms, 500 ms). Traffic between data centres costs money.
 	Near, Far time.Duration
-	// NearFanout and FarFanout bound the VMs that get a heartbeat in one such
-	// time (8, 6); in larger fleets they take turns.
+	// NearFanout and FarFanout limit the VMs that get a heartbeat in one such interval (8,
+	// 6). Larger fleets take turns.
 	NearFanout, FarFanout int
-	// AnnounceFanout bounds the VMs of the own data centre that get a heartbeat
-	// out of turn (4).
+	// AnnounceFanout limits the VMs of the own data centre that get an unscheduled
+	// heartbeat (4).
 	AnnounceFanout int
-	// Silent is the silence after which a VM counts for nothing (700 ms, three
-	// heartbeats and a half). Where VMs take turns, it is longer by as much as
-	// the turns are.
+	// Silent is the timeout after which a VM is no longer live (700 ms, three heartbeats
+	// and a half). Where VMs take turns, it is multiplied by the number of rounds between
+	// two turns.
 	Silent time.Duration
-	// FarSilent is the silence of all its VMs after which another data centre
-	// is out of reach (1 s), or some mean gaps where it is heard so seldom
-	// that these are longer.
+	// FarSilent is the silence of all its VMs after which another data centre is
+	// unreachable (1 s). It is longer for data centres whose heartbeats arrive rarely; see
+	// farTimeout.
 	FarSilent time.Duration
-	// Forget is the silence after which a VM gets no more heartbeats (30 s):
-	// longer than a partition that heals, so that both sides find each other.
+	// Forget is the timeout after which a VM gets no more heartbeats (30 s). It exceeds
+	// the duration of partitions that heal, so that both sides find each other again.
 	Forget time.Duration
 }
 
@@ -60,77 +59,80 @@
 	o.Forget = cmp.Or(o.Forget, 30*time.Second)
 }
 
-// Out is one message to be sent.
+// Out is a message to be sent.
 type Out struct {
 	To      netip.AddrPort
 	Message *Message
 }
 
-// peer is another VM as this one knows it.
+// peer is the state of another VM.
 type peer struct {
 	address netip.AddrPort
-	// last is the newest heartbeat; nil for a VM that was only heard of.
+	// last is the latest heartbeat, or nil if only the address is known.
 	last *Heartbeat
-	// heard is when last came; for a VM that was only heard of, when it was.
-	heard time.Time
-	// counted says that the tally holds the loads of last.
-	counted bool
-	// reports are what it says of silent targets, the newest of last and of its
-	// alarms, and alarmed the number of the last of those.
-	reports map[baobabstep.TargetID]report
-	alarmed uint64
+	// lastHeard is when last was received, or when the address was learned if last is nil.
+	lastHeard time.Time
+	// loadsCounted is set if loadSums contains the loads of last.
+	loadsCounted bool
+	// reports are the silence reports from the latest of its heartbeats and alarms, and
+	// alarmSequence is the number of its latest alarm.
+	reports       map[baobabstep.TargetID]silenceReport
+	alarmSequence uint64
 }
 
-// Board keeps what this VM knows of the others. It is safe for concurrent use.
+// Board is the table of the other VMs and their latest heartbeats. It is safe for
+// concurrent use.
 type Board struct {
-	o  Options
-	mu sync.Mutex
-	// peers are the VMs heard of, by address: a VM that was replaced at the
-	// same address is the same peer with another life.
-	peers  map[netip.AddrPort]*peer
+	options Options
+	mu      sync.Mutex
+	// peers are the known VMs by address. A VM that was replaced at the same address is
+	// the same peer with another incarnation number.
+	peers map[netip.AddrPort]*peer
+	// number is the sequence number of the latest message.
 	number uint64
-	// nearRound and farRound are the rounds of the last heartbeats.
+	// nearRound and farRound are the rounds of the latest heartbeats.
 	nearRound, farRound int64
-	// nearTurns and farTurns are the rounds of heartbeats in which each VM of
-	// the own data centre and of others gets one.
+	// nearTurns and farTurns are the numbers of rounds in which each VM of the own data
+	// centre, and each of all others, gets one heartbeat.
 	nearTurns, farTurns int
 	// newPeers are the VMs that started, or were first heard, since the last round, and
 	// have not been answered.
 	newPeers []*peer
 	// fanouts are the current numbers of VMs that get a heartbeat in a round.
 	fanouts fanouts
-	// answers limits the heartbeats that AnswerNewPeers returns.
-	answers *rate.Limiter
+	// answerLimiter limits the heartbeats that AnswerNewPeers returns.
+	answerLimiter *rate.Limiter
 	// nearVMs is the number of known peers in the own data centre.
 	nearVMs int
-	tally   tally
-	// changed are the targets whose loads may differ from what Loads last returned.
-	changed map[baobabstep.TargetID]struct{}
-	// alarms bounds the bytes of alarms.
-	alarms *rate.Limiter
-	// metAt is when a VM of the own data centre was heard for the first time, or
-	// the start, and view what View returned last.
-	metAt time.Time
-	view  *quota.View
-	// started is when the board was made, and unseen are the seeds that no VM was
-	// heard to hear since.
-	started time.Time
-	unseen  map[netip.AddrPort]bool
+	// loadSums are the summed loads of the live VMs.
+	loadSums targetSums
+	// changedTargets are the targets whose loads may differ from what Loads last returned.
+	changedTargets map[baobabstep.TargetID]struct{}
+	// alarmLimiter limits the bytes of alarms.
+	alarmLimiter *rate.Limiter
+	// lastNewNearPeer is when a VM of the own data centre was first heard, initially the
+	// start time, and view is the latest result of View.
+	lastNewNearPeer time.Time
+	view            *quota.View
+	// started is when the table was created, and unseenSeeds are the seeds that neither
+	// this nor another VM has heard since.
+	started     time.Time
+	unseenSeeds map[netip.AddrPort]bool
 }
 
-// New returns a board that knows the seeds.
+// New returns a table that contains the seeds.
 func New(now time.Time, o Options) *Board {
 	o.setDefaults()
 	b := &Board{
-		o: o, peers: make(map[netip.AddrPort]*peer), tally: make(tally), changed: make(map[baobabstep.TargetID]struct{}), alarms: rate.NewLimiter(alarmRate, alarmBurst), answers: rate.NewLimiter(answerRate, answerBurst),
-		metAt: now, started: now, unseen: make(map[netip.AddrPort]bool),
+		options: o, peers: make(map[netip.AddrPort]*peer), loadSums: make(targetSums), changedTargets: make(map[baobabstep.TargetID]struct{}), alarmLimiter: rate.NewLimiter(alarmRate, alarmBurst), answerLimiter: rate.NewLimiter(answerRate, answerBurst),
+		lastNewNearPeer: now, started: now, unseenSeeds: make(map[netip.AddrPort]bool),
 	}
 	for _, seed := range o.Seeds {
-		b.unseen[seed] = true
+		b.unseenSeeds[seed] = true
 	}
 	b.fanouts = fanouts{near: o.NearFanout, far: o.FarFanout}
-	delete(b.unseen, o.Address)
-	b.meet(now, o.Seeds)
+	delete(b.unseenSeeds, o.Address)
+	b.addAddresses(now, o.Seeds)
 	return b
 }
 
@@ -138,34 +140,35 @@
 // VM would learn the addresses of all others at once when a whole fleet starts.
 const maxUnknownPeers = 32
 
-// meet takes in addresses of VMs that this one does not know yet.
-func (b *Board) meet(now time.Time, addresses []netip.AddrPort) {
+// addAddresses adds peers for addresses that are not yet known.
+func (b *Board) addAddresses(now time.Time, addresses []netip.AddrPort) {
 	for _, a := range addresses {
-		if a.IsValid() && a != b.o.Address && b.peers[a] == nil && len(b.unknown()) < maxUnknownPeers {
-			b.peers[a] = &peer{address: a, heard: now}
+		if a.IsValid() && a != b.options.Address && b.peers[a] == nil && len(b.unknownPeers()) < maxUnknownPeers {
+			b.peers[a] = &peer{address: a, lastHeard: now}
 		}
 	}
 }
 
-// see notes seeds that are heard, here or by another VM.
-func (b *Board) see(from netip.AddrPort, heard []netip.AddrPort) {
-	if len(b.unseen) == 0 {
+// markSeedsSeen removes from unseenSeeds the sender of a heartbeat and the VMs that it has
+// heard.
+func (b *Board) markSeedsSeen(from netip.AddrPort, heard []netip.AddrPort) {
+	if len(b.unseenSeeds) == 0 {
 		return
 	}
-	delete(b.unseen, from)
+	delete(b.unseenSeeds, from)
 	for _, a := range heard {
-		delete(b.unseen, a)
+		delete(b.unseenSeeds, a)
 	}
 }
 
-// sorted returns the peers that have sent a heartbeat, of the own data centre or of all
-// others, sorted by address.
-func (b *Board) sorted(near bool) []*peer {
-	return b.filterPeers(func(p *peer) bool { return p.last != nil && (p.last.DataCentre == b.o.DataCentre) == near })
+// peersByAddress returns the peers that have sent a heartbeat, of the own data centre or
+// of all others, sorted by address.
+func (b *Board) peersByAddress(near bool) []*peer {
+	return b.filterPeers(func(p *peer) bool { return p.last != nil && (p.last.DataCentre == b.options.DataCentre) == near })
 }
 
-// unknown returns the peers of which only the address is known, sorted by address.
-func (b *Board) unknown() []*peer {
+// unknownPeers returns the peers of which only the address is known, sorted by address.
+func (b *Board) unknownPeers() []*peer {
 	return b.filterPeers(func(p *peer) bool { return p.last == nil })
 }
 
@@ -180,28 +183,29 @@
 	return list
 }
 
-func (b *Board) live(now time.Time, p *peer) bool {
+// isLive reports whether a heartbeat of the peer was received within its timeout.
+func (b *Board) isLive(now time.Time, p *peer) bool {
 	if p.last == nil {
 		return false
 	}
-	turns, interval := b.nearTurns, b.o.Near
-	if p.last.DataCentre != b.o.DataCentre {
-		turns, interval = b.farTurns, b.o.Far
+	turns, interval := b.nearTurns, b.options.Near
+	if p.last.DataCentre != b.options.DataCentre {
+		turns, interval = b.farTurns, b.options.Far
 	}
 	if turn := p.last.turn(); turn > 0 {
 		turns = int(turn / interval)
 	}
-	return now.Sub(p.heard) < b.o.Silent*time.Duration(max(1, turns))
+	return now.Sub(p.lastHeard) < b.options.Silent*time.Duration(max(1, turns))
 }
 
-// countTurns notes in how many rounds each VM gets its turn, here and, since all
-// do the same, with the others.
-func (b *Board) countTurns() {
+// updateTurns updates the numbers of rounds between two turns. The same numbers are
+// assumed for VMs that do not report theirs.
+func (b *Board) updateTurns() {
 	near, far := 0, 0
 	for _, p := range b.peers {
 		switch {
 		case p.last == nil:
-		case p.last.DataCentre == b.o.DataCentre:
+		case p.last.DataCentre == b.options.DataCentre:
 			near++
 		default:
 			far++
@@ -212,16 +216,16 @@
 	b.farTurns = (far + b.fanouts.far - 1) / b.fanouts.far
 }
 
-// forgetTurns is how many turns a VM may miss before it is forgotten: in a fleet
-// of hundreds a turn is 20 s and more.
-const forgetTurns = 3
+// minMissedTurns is the least number of missed turns after which a VM is dropped. In a
+// fleet of hundreds of VMs a turn takes 20 s and more.
+const minMissedTurns = 3
 
-// forget drops VMs that were silent for long, but never a seed: a VM that was
-// cut off for long has to find the others again.
-func (b *Board) forget(now time.Time) {
+// dropSilentPeers removes VMs that were silent for long. Seeds remain, so that a VM that
+// was partitioned for long finds the others again.
+func (b *Board) dropSilentPeers(now time.Time) {
 	for address, p := range b.peers {
-		if now.Sub(p.heard) >= b.forgetAfter(p) && !slices.Contains(b.o.Seeds, address) {
-			b.count(p, false)
+		if now.Sub(p.lastHeard) >= b.dropTimeout(p) && !slices.Contains(b.options.Seeds, address) {
+			b.setLoadsCounted(p, false)
 			delete(b.peers, address)
 		}
 	}
@@ -231,20 +235,20 @@
 // answer.
 const unknownTimeout = 5 * time.Second
 
-// forgetAfter returns the silence after which a VM is forgotten.
-func (b *Board) forgetAfter(p *peer) time.Duration {
+// dropTimeout returns the silence after which a VM is removed.
+func (b *Board) dropTimeout(p *peer) time.Duration {
 	if p.last == nil {
 		return unknownTimeout
 	}
-	return max(b.o.Forget, forgetTurns*time.Duration(b.farTurns)*b.o.Far, forgetTurns*p.last.turn())
+	return max(b.options.Forget, minMissedTurns*time.Duration(b.farTurns)*b.options.Far, minMissedTurns*p.last.turn())
 }
 
-// Handle takes in a heartbeat. It returns false for one that is not newer than
-// what is known of its sender.
+// Handle processes a heartbeat. It returns false if the heartbeat is not newer than the
+// latest one of its sender.
 func (b *Board) Handle(now time.Time, from netip.AddrPort, h *Heartbeat) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h.From == b.o.Self {
+	if h.From == b.options.Self {
 		return false
 	}
 	p := b.peers[from]
@@ -252,33 +256,33 @@
 		p = &peer{address: from}
 		b.peers[from] = p
 	}
-	if p.last != nil && !newer(h, p.last) {
+	if p.last != nil && !isNewer(h, p.last) {
 		return false
 	}
-	b.count(p, false)
-	if p.last == nil && h.DataCentre == b.o.DataCentre {
-		b.metAt = now
+	b.setLoadsCounted(p, false)
+	if p.last == nil && h.DataCentre == b.options.DataCentre {
+		b.lastNewNearPeer = now
 	}
 	newLife := p.last == nil || h.Life != p.last.Life
 	if newLife {
-		p.alarmed = 0
+		p.alarmSequence = 0
 		b.addNewPeer(p)
 	}
-	if newLife || h.Number > p.alarmed {
+	if newLife || h.Number > p.alarmSequence {
 		b.markReportsChanged(p)
-		p.reports = makeReports(now, h.Loads)
+		p.reports = makeSilenceReports(now, h.Loads)
 	}
-	p.last, p.heard = h, now
-	b.count(p, true)
-	b.meet(now, h.Peers)
-	b.see(from, h.Peers)
+	p.last, p.lastHeard = h, now
+	b.setLoadsCounted(p, true)
+	b.addAddresses(now, h.Peers)
+	b.markSeedsSeen(from, h.Peers)
 	return true
 }
 
 const (
 	// maxNewPeers limits the VMs that wait for an answer to their first heartbeat.
 	maxNewPeers = 64
-	// answerRate, in answers a second, and answerBurst limit AnswerNewPeers.
+	// answerRate, in answers per second, and answerBurst limit AnswerNewPeers.
 	answerRate, answerBurst = 50, 64
 )
 
@@ -289,7 +293,8 @@
 	}
 }
 
-func newer(h, last *Heartbeat) bool {
+// isNewer reports whether h is newer than the latest heartbeat of the same address.
+func isNewer(h, last *Heartbeat) bool {
 	if h.From != last.From {
 		return h.Life >= last.Life
 	}
--- a/core/heartbeat/board_test.go
+++ b/core/heartbeat/board_test.go
@@ -23,8 +23,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 7000)
 }
 
-// newBoard returns the board of VM n; odd ones stand in data centre a, even
-// ones in b.
+// newBoard returns the table of VM n. VMs with odd numbers are in data centre a, those
+// with even numbers in b.
 func newBoard(n int, seeds ...int) *Board {
 	o := Options{Self: baobabstep.VMID(n), DataCentre: dataCentre(n), Address: address(n), Life: 1, Rand: rand.New(rand.NewPCG(1, uint64(n)))}
 	for _, s := range seeds {
@@ -35,40 +35,40 @@
 
 func dataCentre(n int) string { return []string{"b", "a"}[n%2] }
 
-func beat(n int, life, number uint64) *Heartbeat {
+func newHeartbeat(n int, life, number uint64) *Heartbeat {
 	return &Heartbeat{From: baobabstep.VMID(n), DataCentre: dataCentre(n), Life: life, Number: number}
 }
 
-// A heartbeat that is late, or was recorded and sent again, must not bring back
-// what its sender said before, nor make a dead VM live.
-func TestOldHeartbeatsChangeNothing(t *testing.T) {
+// Guards against delayed or replayed heartbeats that restore an earlier state of their
+// sender or make a dead VM live.
+func TestStaleHeartbeatsAreIgnored(t *testing.T) {
 	b := newBoard(1)
-	qt.Assert(t, b.Handle(start, address(3), beat(3, 5, 10)), qt.IsTrue)
-	for _, old := range []*Heartbeat{beat(3, 5, 10), beat(3, 5, 9), beat(3, 4, 99)} {
+	qt.Assert(t, b.Handle(start, address(3), newHeartbeat(3, 5, 10)), qt.IsTrue)
+	for _, old := range []*Heartbeat{newHeartbeat(3, 5, 10), newHeartbeat(3, 5, 9), newHeartbeat(3, 4, 99)} {
 		qt.Assert(t, b.Handle(start.Add(time.Minute), address(3), old), qt.IsFalse)
 	}
 	qt.Assert(t, b.Live(start.Add(time.Minute)), qt.HasLen, 0)
-	qt.Assert(t, b.Handle(start, address(3), beat(3, 6, 1)), qt.IsTrue)
+	qt.Assert(t, b.Handle(start, address(3), newHeartbeat(3, 6, 1)), qt.IsTrue)
 }
 
 func TestRank(t *testing.T) {
 	b := newBoard(5)
-	for _, n := range []int{1, 3, 7, 2, 4, 6} { // even ones stand in another data centre
-		b.Handle(start, address(n), beat(n, 1, 1))
+	for _, n := range []int{1, 3, 7, 2, 4, 6} { // even ones are in another data centre
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	qt.Assert(t, b.Rank(start, false), qt.Equals, Rank{Near: 2, Far: 1})
-	later := start.Add(b.o.Silent)
+	later := start.Add(b.options.Silent)
 	for _, test := range []struct {
 		name string
 		say  func(h *Heartbeat)
 		want Rank
 	}{
 		{"silent VMs do not count", func(*Heartbeat) {}, Rank{Near: 1}},
-		{"nor one that leaves", func(h *Heartbeat) { h.Leaving = true }, Rank{}},
-		{"nor one that cannot read the store", func(h *Heartbeat) { h.Blind = true }, Rank{}},
+		{"leaving VMs do not count", func(h *Heartbeat) { h.Leaving = true }, Rank{}},
+		{"VMs that cannot read the store do not count", func(h *Heartbeat) { h.Blind = true }, Rank{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := beat(3, 1, b.number+2)
+			h := newHeartbeat(3, 1, b.number+2)
 			b.number++
 			test.say(h)
 			b.Handle(later, address(3), h)
@@ -77,13 +77,13 @@
 	}
 }
 
-// The store is down: all VMs are blind, and each would be the first of those that
-// are not. Sixty of them asked it every second. Ranks go on among the blind, and
-// any VM that can read comes before them.
-func TestRankOfTheBlind(t *testing.T) {
+// Guards against VMs that all rank first while none can read the store; sixty VMs then
+// sent it a request every second. VMs that cannot read the store rank among each other,
+// after any VM that can.
+func TestRankWithoutStore(t *testing.T) {
 	b := newBoard(5)
 	for _, n := range []int{1, 3, 7} {
-		h := beat(n, 1, 1)
+		h := newHeartbeat(n, 1, 1)
 		h.Blind = n != 7
 		b.Handle(start, address(n), h)
 	}
@@ -91,11 +91,12 @@
 	qt.Assert(t, b.Rank(start, true), qt.Equals, Rank{Near: 3})
 }
 
-// Something new has to reach each data centre at once, over one VM of each.
+// Guards against announcements that miss a data centre. They go to some VMs of the own
+// one, and to one VM of each other.
 func TestAnnounce(t *testing.T) {
 	b := newBoard(1)
 	for _, n := range []int{3, 5, 2, 4} {
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	to := func(far bool) (list []netip.AddrPort) {
 		for _, o := range b.Announce(start, Own{}, far) {
@@ -107,21 +108,20 @@
 	qt.Assert(t, fmt.Sprint(to(false)), qt.Equals, fmt.Sprint([]netip.AddrPort{address(3), address(5)}))
 	qt.Assert(t, fmt.Sprint(to(true)), qt.Equals, fmt.Sprint([]netip.AddrPort{address(2), address(3), address(5)}))
 	for n := 7; n < 60; n += 2 {
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
-	qt.Assert(t, to(true), qt.HasLen, b.o.AnnounceFanout+1)
+	qt.Assert(t, to(true), qt.HasLen, b.options.AnnounceFanout+1)
 	spread := b.Spread(start, true)
 	qt.Assert(t, spread, qt.HasLen, 30)
 }
 
-// Thirty VMs learn at one moment that one of them holds something newer, then
-// that several do. All of them asked the same one for the whole, and its link was
-// full for 0.2 s.
-func TestAskedForTheWhole(t *testing.T) {
+// Guards against VMs that all request new content from the same VM when they learn of it
+// at the same time. With thirty VMs, that saturated its link for 0.2 s.
+func TestNewerSpreadsRequests(t *testing.T) {
 	b := newBoard(1)
 	asked := map[netip.AddrPort]int{}
 	for _, n := range []int{3, 5, 7, 9} {
-		h := beat(n, 1, 1)
+		h := newHeartbeat(n, 1, 1)
 		h.Held[Targets] = MakeHeld(revisionOf(10), 77, 0)
 		b.Handle(start, address(n), h)
 	}
@@ -136,10 +136,10 @@
 	qt.Assert(t, asked, qt.HasLen, 4)
 }
 
-func TestFreshness(t *testing.T) {
+func TestNewer(t *testing.T) {
 	b := newBoard(1)
 	say := func(n int, number, version, sum uint64, age time.Duration) {
-		h := beat(n, 1, number)
+		h := newHeartbeat(n, 1, number)
 		h.Held[Targets] = MakeHeld(revisionOf(version), sum, age)
 		b.Handle(start, address(n), h)
 	}
@@ -151,34 +151,34 @@
 	from, ok := b.Newer(later, Targets, revisionOf(9), 66)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, from, qt.Equals, address(5))
-	t.Run("the same content at a later revision is nothing newer", func(t *testing.T) {
+	t.Run("the same content at a later revision is not newer", func(t *testing.T) {
 		from, ok := b.Newer(later, Targets, revisionOf(10), 77)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, from, qt.Equals, address(2)) // the other content
 	})
-	t.Run("an older version is never taken", func(t *testing.T) {
+	t.Run("an older version is not returned", func(t *testing.T) {
 		_, ok := b.Newer(later, Targets, revisionOf(14), 66)
 		qt.Assert(t, ok, qt.IsFalse)
 	})
-	t.Run("a later era is newer whatever its number", func(t *testing.T) {
+	t.Run("a later era is newer regardless of the number", func(t *testing.T) {
 		held := baobabstep.Revision{Era: 1, Number: 3}
 		_, ok := b.Newer(later, Targets, held, 66)
 		qt.Assert(t, ok, qt.IsFalse)
-		h := beat(5, 1, 2)
+		h := newHeartbeat(5, 1, 2)
 		h.Held[Targets] = MakeHeld(baobabstep.Revision{Era: 2, Number: 1}, 99, 0)
 		b.Handle(start, address(5), h)
 		from, ok := b.Newer(later, Targets, held, 66)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, from, qt.Equals, address(5))
 	})
-	t.Run("silent VMs hold nothing", func(t *testing.T) {
+	t.Run("silent VMs are not returned", func(t *testing.T) {
 		_, ok := b.Newer(start.Add(time.Second), Targets, revisionOf(9), 66)
 		qt.Assert(t, ok, qt.IsFalse)
 	})
 }
 
-func TestVouches(t *testing.T) {
-	h := beat(3, 1, 1)
+func TestConfirmedAge(t *testing.T) {
+	h := newHeartbeat(3, 1, 1)
 	h.Held[Targets] = MakeHeld(revisionOf(10), 77, 300*time.Millisecond)
 	for _, c := range []struct {
 		name string
@@ -200,9 +200,9 @@
 	}
 }
 
-// VMs come, change what they send, fall silent, start again at the same address
-// and are forgotten: the sums that are kept must stay those of the live VMs.
-func TestKeptLoadsAreThoseOfTheLiveVMs(t *testing.T) {
+// Guards against load sums that differ from the loads of the live VMs after VMs start,
+// change their loads, fall silent, restart at the same address or are removed.
+func TestLoadSumsMatchLiveVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBoard(1)
 		accumulated := make(loadsByTarget)
@@ -210,7 +210,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			n := rapid.IntRange(2, 12).Draw(t, "vm")
-			h := beat(n, uint64(rapid.IntRange(1, 2).Draw(t, "life")), uint64(now.Sub(start)))
+			h := newHeartbeat(n, uint64(rapid.IntRange(1, 2).Draw(t, "life")), uint64(now.Sub(start)))
 			for id := range baobabstep.TargetID(4) {
 				if rapid.Bool().Draw(t, "sends") {
 					h.Loads = append(h.Loads, Load{
@@ -228,7 +228,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "s")) * time.Second)
 				b.Tick(now, Own{})
 			}
-			got, want := sorted(accumulated.apply(b.Loads(now))), sorted(summedLoads(b, now))
+			got, want := sortSilence(accumulated.apply(b.Loads(now))), sortSilence(summedLoads(b, now))
 			if !maps.EqualFunc(got, want, func(a, b baobabstep.TargetLoad) bool { return reflect.DeepEqual(a, b) }) {
 				t.Fatalf("loads: got %v, want %v", got, want)
 			}
@@ -247,8 +247,8 @@
 	return l
 }
 
-// sorted puts what VMs say of silence in an order of its own.
-func sorted(loads map[baobabstep.TargetID]baobabstep.TargetLoad) map[baobabstep.TargetID]baobabstep.TargetLoad {
+// sortSilence sorts the silence reports of each target.
+func sortSilence(loads map[baobabstep.TargetID]baobabstep.TargetLoad) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	for _, l := range loads {
 		slices.SortFunc(l.Silence, func(a, b baobabstep.Silence) int {
 			return cmp.Or(a.LeftAt.Compare(b.LeftAt), cmp.Compare(a.Unanswered, b.Unanswered), cmp.Compare(a.Opens, b.Opens))
@@ -257,36 +257,36 @@
 	return loads
 }
 
-// summedLoads adds up what the live VMs said last.
+// summedLoads returns the sums of the latest loads of the live VMs.
 func summedLoads(b *Board, now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	sums := make(map[baobabstep.TargetID]uint64)
 	answers, failures, times := map[baobabstep.TargetID]int{}, map[baobabstep.TargetID]int{}, map[baobabstep.TargetID]int{}
 	loads := make(map[baobabstep.TargetID]baobabstep.TargetLoad)
 	for _, p := range b.peers {
-		if !b.live(now, p) {
+		if !b.isLive(now, p) {
 			continue
 		}
 		for _, l := range p.last.Loads {
-			near := p.last.DataCentre == b.o.DataCentre
+			near := p.last.DataCentre == b.options.DataCentre
 			if l.Tenths == 0 && l.AnswerTenths == 0 && (!near || l.Unanswered == 0) {
 				continue
 			}
 			sums[l.Target] += uint64(l.Tenths)
 			sum := loads[l.Target]
-			sum.Requests = float64(sums[l.Target]) / tenths
+			sum.Requests = float64(sums[l.Target]) / tenthsPerRequest
 			if l.AnswerTenths > 0 {
 				failed := min(l.FailedTenths, l.AnswerTenths)
 				answers[l.Target] += int(l.AnswerTenths)
 				failures[l.Target] += int(failed)
 				times[l.Target] += int(l.TookMS) * int(l.AnswerTenths-failed)
-				sum.Answers, sum.Failed = float64(answers[l.Target])/tenths, float64(failures[l.Target])/tenths
+				sum.Answers, sum.Failed = float64(answers[l.Target])/tenthsPerRequest, float64(failures[l.Target])/tenthsPerRequest
 				if good := answers[l.Target] - failures[l.Target]; good > 0 {
 					sum.Took = time.Duration(times[l.Target]) * time.Millisecond / time.Duration(good)
 				}
 				sum.Callers |= l.Callers
 			}
 			if near && l.Unanswered > 0 {
-				sum.Silence = append(sum.Silence, baobabstep.Silence{Unanswered: int(l.Unanswered), LeftAt: p.heard})
+				sum.Silence = append(sum.Silence, baobabstep.Silence{Unanswered: int(l.Unanswered), LeftAt: p.lastHeard})
 			}
 			loads[l.Target] = sum
 		}
@@ -296,17 +296,17 @@
 
 func TestLoads(t *testing.T) {
 	b := newBoard(1)
-	for n, said := range map[int]Load{
+	for n, load := range map[int]Load{
 		2: {Tenths: 15, Unanswered: 9, Opens: 9}, 3: {Tenths: 30, Unanswered: 1, Opens: 1}, 5: {Unanswered: 2, Opens: 1}, 7: {Unanswered: 2},
 	} {
-		h := beat(n, 1, 1)
-		said.Target = 9
-		h.Loads = Loads{said}
+		h := newHeartbeat(n, 1, 1)
+		load.Target = 9
+		h.Loads = Loads{load}
 		b.Handle(start, address(n), h)
 	}
-	// VM 2 stands in another data centre.
+	// VM 2 is in another data centre.
 	accumulated := make(loadsByTarget)
-	qt.Assert(t, sorted(accumulated.apply(b.Loads(start)))[9], qt.DeepEquals, baobabstep.TargetLoad{Requests: 4.5, Silence: []baobabstep.Silence{
+	qt.Assert(t, sortSilence(accumulated.apply(b.Loads(start)))[9], qt.DeepEquals, baobabstep.TargetLoad{Requests: 4.5, Silence: []baobabstep.Silence{
 		{Unanswered: 1, Opens: 1, LeftAt: start}, {Unanswered: 2, LeftAt: start}, {Unanswered: 2, Opens: 1, LeftAt: start},
 	}})
 	qt.Assert(t, b.Loads(start), qt.HasLen, 0, qt.Commentf("no change since the previous call"))
@@ -315,16 +315,17 @@
 	qt.Assert(t, accumulated.apply(b.Loads(start.Add(time.Second))), qt.HasLen, 0)
 }
 
-// A VM whose link is full takes a target for silent that others hear of. They say
-// so, and when; VMs of other data centres are not asked.
-func TestOthersContradict(t *testing.T) {
+// Guards against a target that counts as silent only because the link of one VM is
+// saturated. VMs that receive its answers report when they last did. Reports from other
+// data centres are ignored.
+func TestDisputedSilence(t *testing.T) {
 	b := newBoard(1)
 	own := []baobabstep.TargetLoad{
 		{Target: 9, HeardAt: start.Add(-50 * time.Millisecond), Disputed: true},
 		{Target: 10, HeardAt: start.Add(-50 * time.Millisecond)},
 	}
 	for _, n := range []int{2, 3} {
-		h := beat(n, 1, 1)
+		h := newHeartbeat(n, 1, 1)
 		h.Loads = MakeLoads(start, own, maxLoads)
 		qt.Assert(t, h.Loads, qt.HasLen, 1)
 		if n == 2 {
@@ -335,20 +336,20 @@
 	qt.Assert(t, b.Loads(start)[9].HeardAt.Equal(start.Add(-50*time.Millisecond)), qt.IsTrue)
 }
 
-// In a large fleet VMs take turns, and one is heard seldom. It still lives.
-func TestTurnsMakeSilenceLonger(t *testing.T) {
+// Guards against VMs of a large fleet that count as dead because their turns are rare.
+func TestTurnsExtendTimeout(t *testing.T) {
 	b := newBoard(1)
 	for n := 3; n < 60; n += 2 {
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	b.Tick(start, Own{})
-	qt.Assert(t, b.Live(start.Add(3 * b.o.Silent))["a"], qt.Equals, 29)
-	qt.Assert(t, b.Live(start.Add(4 * b.o.Silent))["a"], qt.Equals, 0)
+	qt.Assert(t, b.Live(start.Add(3 * b.options.Silent))["a"], qt.Equals, 29)
+	qt.Assert(t, b.Live(start.Add(4 * b.options.Silent))["a"], qt.Equals, 0)
 }
 
-// VMs that know only seeds have to find each other, also when the seeds are
-// addresses of VMs that are gone for those who come later.
-func TestVMsFindEachOther(t *testing.T) {
+// Guards against VMs that know only seeds and do not find each other, also when a seed no
+// longer exists.
+func TestDiscovery(t *testing.T) {
 	boards := map[netip.AddrPort]*Board{}
 	for n := 1; n <= 9; n++ {
 		boards[address(n)] = newBoard(n, 1, 2, 99)
@@ -370,22 +371,23 @@
 	}
 }
 
-// Each VM of a large fleet hears of another data centre from many VMs, each of
-// them seldom. When they came at random, a VM of 60 heard nothing of a data centre
-// for a second every half a minute; it took it for lost and kept flows away.
-func TestNoDataCentreOfALargeFleetSeemsLost(t *testing.T) {
+// Guards against data centres that seem unreachable because heartbeats from them arrive
+// irregularly. In a large fleet many VMs of a data centre send heartbeats, each of them
+// rarely. At random times, one of 60 VMs received none for a second every half a minute,
+// and sent no flows to that data centre.
+func TestDataCentresStayLiveInLargeFleets(t *testing.T) {
 	for _, size := range []struct{ vms, dataCentres, small int }{{60, 4, 0}, {80, 3, 0}, {120, 3, 20}} {
 		t.Run(fmt.Sprintf("%d VMs", size.vms), func(t *testing.T) {
-			lost := playFleet(t, size.vms, size.dataCentres, size.small)
-			qt.Assert(t, lost, qt.Equals, 0, qt.Commentf("data centres seemed lost"))
+			lost := countLostDataCentres(t, size.vms, size.dataCentres, size.small)
+			qt.Assert(t, lost, qt.Equals, 0, qt.Commentf("data centres seemed unreachable"))
 		})
 	}
 }
 
-// playFleet lets VMs tick for 30 s, each at times of its own, and returns how
-// often in the last 10 s one of them heard nothing of a data centre. The last data
-// centre has small VMs, if not 0.
-func playFleet(t *testing.T, vms, dataCentres, small int) (lost int) {
+// countLostDataCentres simulates a fleet for 30 s, in which each VM ticks at its own
+// times. It returns how often in the last 10 s a VM considered a data centre unreachable.
+// If small is not 0, it is the number of VMs of the last data centre.
+func countLostDataCentres(t *testing.T, vms, dataCentres, small int) (lost int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(7, 8))
 	boards := make([]*Board, vms)
@@ -425,21 +427,21 @@
 	return lost
 }
 
-// A fleet of hundreds of VMs must not make each send to all: the fan-out is
-// bounded, and everyone gets a turn.
+// Guards against VMs of a large fleet that send heartbeats to all others in one round, or
+// never to some of them.
 func TestFanoutIsBounded(t *testing.T) {
 	b := newBoard(1)
 	for n := 2; n < 120; n++ {
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	heard := map[netip.AddrPort]bool{}
 	now := start
 	for range 30 {
-		now = now.Add(b.o.Far)
+		now = now.Add(b.options.Far)
 		qt.Assert(t, b.Due(now), qt.IsTrue)
 		outs := b.Tick(now, Own{})
 		qt.Assert(t, b.Due(now), qt.IsFalse)
-		qt.Assert(t, len(outs) <= b.o.NearFanout+b.o.FarFanout, qt.IsTrue)
+		qt.Assert(t, len(outs) <= b.options.NearFanout+b.options.FarFanout, qt.IsTrue)
 		for _, o := range outs {
 			heard[o.To] = true
 		}
@@ -447,25 +449,26 @@
 	qt.Assert(t, len(heard), qt.Equals, 118)
 }
 
-// VMs of other data centres are told less, since bytes between data centres are
-// paid for; what is told are the most loaded targets.
-func TestOtherDataCentresHearOfFewerTargets(t *testing.T) {
+// Guards against heartbeats to other data centres that contain as many loads as those
+// within one. Traffic between data centres costs money, so only the largest loads are
+// sent.
+func TestFarHeartbeatsHaveFewerLoads(t *testing.T) {
 	b := newBoard(1)
 	for n := 2; n < 8; n++ {
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	own := Own{Loads: make([]baobabstep.TargetLoad, 2*maxLoads)}
 	for i := range own.Loads {
 		own.Loads[i] = baobabstep.TargetLoad{Target: baobabstep.TargetID(i + 1), Requests: float64(i + 1)}
 	}
-	told := map[bool]int{}
+	counts := map[bool]int{}
 	for _, o := range append(b.Tick(start, own), b.Announce(start, own, true)...) {
 		near, loads := b.IsNear(o.To), o.Message.Heartbeat.Loads
-		qt.Assert(t, loads, qt.HasLen, map[bool]int{true: maxLoads, false: farLoads}[near])
+		qt.Assert(t, loads, qt.HasLen, map[bool]int{true: maxLoads, false: maxFarLoads}[near])
 		qt.Assert(t, int(loads[0].Target), qt.Equals, 2*maxLoads-len(loads)+1)
-		told[near]++
+		counts[near]++
 	}
-	qt.Assert(t, told[true] > 0 && told[false] > 0, qt.IsTrue)
+	qt.Assert(t, counts[true] > 0 && counts[false] > 0, qt.IsTrue)
 }
 
 func TestLargestHeartbeatFits(t *testing.T) {
@@ -474,7 +477,7 @@
 		h.Peers = append(h.Peers, netip.MustParseAddrPort("255.255.255.255:65535"))
 	}
 	for kind := range h.Held {
-		h.Held[kind] = Held{Version: 1<<64 - 1, Sum: 1<<64 - 1, AgeMS: maxAge, Era: 1<<64 - 1}
+		h.Held[kind] = Held{Version: 1<<64 - 1, Sum: 1<<64 - 1, AgeMS: maxAgeMS, Era: 1<<64 - 1}
 	}
 	h.HeldEvacuations = h.Held[Targets]
 	var own []baobabstep.TargetLoad
@@ -489,7 +492,7 @@
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// revisionOf returns a revision of a store that counts no eras.
+// revisionOf returns a revision of a store without eras.
 func revisionOf(number uint64) baobabstep.Revision { return baobabstep.Revision{Number: number} }
 
 // Guards against relay trees that miss a VM of the data centre or reach it twice.
@@ -500,9 +503,9 @@
 			for n := 1; n <= 2*vms; n += 2 { // odd VMs share a data centre
 				b := newBoard(n)
 				for other := 1; other <= 2*vms; other += 2 {
-					b.Handle(start, address(other), beat(other, 1, 1))
+					b.Handle(start, address(other), newHeartbeat(other, 1, 1))
 				}
-				b.countTurns()
+				b.updateTurns()
 				boards[address(n)] = b
 			}
 			origin := address(1 + 2*(vms/2))
@@ -527,9 +530,9 @@
 	for vms, want := range map[int]time.Duration{1: 0, 4: 0, 5: relayHopDelay, 20: relayHopDelay, 21: 2 * relayHopDelay, 200: 3 * relayHopDelay, 400: 4 * relayHopDelay} {
 		b := newBoard(1)
 		for n := range vms {
-			b.Handle(start, address(3+2*n), beat(3+2*n, 1, 1))
+			b.Handle(start, address(3+2*n), newHeartbeat(3+2*n, 1, 1))
 		}
-		b.countTurns()
+		b.updateTurns()
 		qt.Assert(t, b.RelayDelay(), qt.Equals, want, qt.Commentf("%d VMs", vms))
 	}
 }
--- a/core/heartbeat/change.go
+++ b/core/heartbeat/change.go
@@ -8,8 +8,8 @@
 	"baobabstep"
 )
 
-// RoutesChange returns what turns one routing table into another. Both have to
-// be sorted.
+// RoutesChange returns the change from one sorted routing table to another. held describes
+// the new one.
 func RoutesChange(from, to *baobabstep.RoutingTable, fromSum uint64, held Held) *Change {
 	c := &Change{Kind: Routes, From: fromSum, To: held, Idle: to.IdleTimeout}
 	old := make(map[string]*baobabstep.Rule, len(from.Rules))
@@ -30,12 +30,12 @@
 	return c
 }
 
-// ApplyRoutes returns the table that a change makes of another one. Errors:
-// CodeConflict if the change does not apply to it, or does not give what it
-// should; CodeMalformed.
+// ApplyRoutes returns the table that results from applying the change to from. Errors:
+// CodeConflict if from is not the base of the change or the checksum of the result
+// differs; CodeMalformed.
 func (c *Change) ApplyRoutes(from *baobabstep.RoutingTable, fromSum uint64) (*baobabstep.RoutingTable, error) {
 	if from == nil || c.From != fromSum {
-		return nil, conflict("got a change of another table")
+		return nil, conflict("base checksum mismatch in change of routes")
 	}
 	rules := make(map[string]baobabstep.Rule, len(from.Rules))
 	for _, r := range from.Rules {
@@ -62,12 +62,12 @@
 	}
 	content, err := EncodeRoutes(to)
 	if err != nil || Sum(content) != c.To.Sum {
-		return nil, conflict("got another table than the change should give")
+		return nil, conflict("checksum mismatch after change of routes")
 	}
 	return to, nil
 }
 
-// TargetsChange returns a change of registrations.
+// TargetsChange returns a change of registrations. held describes the new ones.
 func TargetsChange(d Difference, fromSum uint64, held Held) *Change {
 	c := &Change{Kind: Targets, From: fromSum, To: held, RemovedTargets: d.Gone}
 	for i := range d.Put {
@@ -76,11 +76,11 @@
 	return c
 }
 
-// Difference returns what a change makes of registrations. Errors: CodeConflict
-// if it does not apply to them, or does not give what it should; CodeMalformed.
+// Difference returns the effect of the change on registrations. Errors: CodeConflict if
+// from is not the base of the change or the checksum of the result differs; CodeMalformed.
 func (c *Change) Difference(from *Registrations) (d Difference, err error) {
 	if c.From != from.Sum() {
-		return d, conflict("got a change of other registrations")
+		return d, conflict("base checksum mismatch in change of targets")
 	}
 	d.Gone = c.RemovedTargets
 	for i := range c.Targets {
@@ -91,7 +91,7 @@
 		d.Put = append(d.Put, r)
 	}
 	if after, err := from.SumAfter(d); err != nil || after != c.To.Sum {
-		return d, conflict("got other registrations than the change should give")
+		return d, conflict("checksum mismatch after change of targets")
 	}
 	return d, nil
 }
--- a/core/heartbeat/change_test.go
+++ b/core/heartbeat/change_test.go
@@ -38,28 +38,29 @@
 	return list
 }
 
-func sumOf(t testing.TB, content []byte, err error) uint64 {
+func checksumOf(t testing.TB, content []byte, err error) uint64 {
 	t.Helper()
 	qt.Assert(t, err, qt.IsNil)
 	return Sum(content)
 }
 
-// Whatever changes, a change gives exactly the new content, or nothing.
-func TestChangeGivesTheNewContent(t *testing.T) {
+// Guards against changes whose result differs from the new content, and against changes
+// applied to other content than their base.
+func TestChangeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from, to := drawTable(rt, 7), drawTable(rt, 9)
 		fromContent, err := EncodeRoutes(from)
-		fromSum := sumOf(t, fromContent, err)
+		fromSum := checksumOf(t, fromContent, err)
 		toContent, err := EncodeRoutes(to)
-		c := RoutesChange(from, to, fromSum, MakeHeld(revisionOf(9), sumOf(t, toContent, err), 0))
+		c := RoutesChange(from, to, fromSum, MakeHeld(revisionOf(9), checksumOf(t, toContent, err), 0))
 		got, err := c.ApplyRoutes(from, fromSum)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(to) {
 			rt.Fatalf("got %v, %v, want %v", got, err, to)
 		}
 		if other := drawTable(rt, 8); fmt.Sprint(other.Rules) != fmt.Sprint(from.Rules) {
 			otherContent, err := EncodeRoutes(other)
-			if _, err := c.ApplyRoutes(other, sumOf(t, otherContent, err)); baobabstep.CodeOf(err) != baobabstep.CodeConflict {
-				rt.Fatalf("a change of another table: got %v", err)
+			if _, err := c.ApplyRoutes(other, checksumOf(t, otherContent, err)); baobabstep.CodeOf(err) != baobabstep.CodeConflict {
+				rt.Fatalf("change of another table: got error %v, want CodeConflict", err)
 			}
 		}
 		before, after := drawTargets(rt), drawTargets(rt)
@@ -68,7 +69,7 @@
 		other := registrations(t, drawTargets(rt))
 		if other.Sum() != held.Sum() {
 			if _, err := d.Difference(other); baobabstep.CodeOf(err) != baobabstep.CodeConflict {
-				rt.Fatalf("a change of other registrations: got %v", err)
+				rt.Fatalf("change of other registrations: got error %v, want CodeConflict", err)
 			}
 		}
 		made, err := d.Difference(held)
@@ -88,8 +89,9 @@
 	return r
 }
 
-// Two lists have one checksum only if they are alike, in whatever order.
-func TestChecksumOfRegistrations(t *testing.T) {
+// Guards against equal checksums of different registrations, and against checksums that
+// depend on the order.
+func TestRegistrationsChecksum(t *testing.T) {
 	list := []baobabstep.Registration{
 		{ID: 3, Service: "fixtures", Address: address(3), DataCentre: "a", Slots: 2},
 		{ID: 4, Service: "fixtures", Address: address(4), DataCentre: "a", Slots: 2},
@@ -97,10 +99,10 @@
 	sum := registrations(t, list).Sum()
 	qt.Check(t, registrations(t, []baobabstep.Registration{list[1], list[0]}).Sum(), qt.Equals, sum)
 	for name, change := range map[string]func(l []baobabstep.Registration) []baobabstep.Registration{
-		"one less":       func(l []baobabstep.Registration) []baobabstep.Registration { return l[:1] },
-		"none":           func([]baobabstep.Registration) []baobabstep.Registration { return nil },
-		"one drains":     func(l []baobabstep.Registration) []baobabstep.Registration { l[0].Draining = true; return l },
-		"swapped places": func(l []baobabstep.Registration) []baobabstep.Registration { l[0].ID, l[1].ID = 4, 3; return l },
+		"one fewer":           func(l []baobabstep.Registration) []baobabstep.Registration { return l[:1] },
+		"none":                func([]baobabstep.Registration) []baobabstep.Registration { return nil },
+		"one draining":        func(l []baobabstep.Registration) []baobabstep.Registration { l[0].Draining = true; return l },
+		"identifiers swapped": func(l []baobabstep.Registration) []baobabstep.Registration { l[0].ID, l[1].ID = 4, 3; return l },
 	} {
 		t.Run(name, func(t *testing.T) {
 			other := registrations(t, change(append([]baobabstep.Registration(nil), list...)))
@@ -110,8 +112,8 @@
 	}
 }
 
-// A change that does not give what it should leaves what is held as it was.
-func TestChangeToAnotherChecksumIsRefused(t *testing.T) {
+// Guards against registrations that are modified by a change with an incorrect checksum.
+func TestChangeWithWrongChecksum(t *testing.T) {
 	held := registrations(t, []baobabstep.Registration{{ID: 3, Service: "s", Address: address(3), Slots: 2}})
 	sum := held.Sum()
 	c := TargetsChange(Difference{Gone: []baobabstep.TargetID{3}}, sum, MakeHeld(revisionOf(2), sum+1, 0))
@@ -136,9 +138,10 @@
 	qt.Assert(t, len(raw) < 150 && len(content) > 5000, qt.IsTrue, qt.Commentf("%d of %d bytes", len(raw), len(content)))
 }
 
-// Operators change what cold targets of a service bear, and nothing else. VMs that
-// hear of the change hold the table that those which read it hold.
-func TestColdLimitsTravel(t *testing.T) {
+// Guards against changes that lose limits of cold targets. The limits change without any
+// change of rules; VMs that receive the change must hold the same table as those that read
+// it from the store.
+func TestColdLimitsRoundTrip(t *testing.T) {
 	from := &baobabstep.RoutingTable{Version: 1}
 	to := &baobabstep.RoutingTable{Version: 2, ColdLimits: []baobabstep.ColdLimit{
 		{Service: "b", PerSecond: 1.5, Lasts: time.Second}, {Service: "a", PerSecond: 6, Lasts: 4 * time.Second},
@@ -167,8 +170,8 @@
 	travel(got, &same)
 	travel(&same, &baobabstep.RoutingTable{Version: 4})
 
-	t.Run("a limit that cannot be is malformed", func(t *testing.T) {
-		raw, err := encMode.Marshal(&routesBody{Version: 1, ColdLimits: []coldBody{{Service: "a", PerSecond: -1, Lasts: 1}}})
+	t.Run("an invalid limit is malformed", func(t *testing.T) {
+		raw, err := encMode.Marshal(&routesBody{Version: 1, ColdLimits: []coldLimitBody{{Service: "a", PerSecond: -1, Lasts: 1}}})
 		qt.Assert(t, err, qt.IsNil)
 		_, err = DecodeRoutes(raw)
 		qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeMalformed)
--- a/core/heartbeat/doc.go
+++ b/core/heartbeat/doc.go
@@ -1,22 +1,23 @@
-// Package heartbeat is what VMs with token routing tell each other: that they
-// live, how fresh their routes and targets are, and what they send to each
-// target.
+// Package heartbeat is the protocol between VMs with token routing. It tells them
+// which VMs are live, which versions of routes and targets they hold and how fresh
+// these are, and how much load they send to each target.
 //
 // # The model
 //
-// Each VM sends heartbeats to the VMs of its own data centre often, and to some
-// of the others less often. Nothing is acknowledged and nothing repeated: the
-// next heartbeat says it again. A VM that hears of another from a third one
-// greets it, so that the addresses in the settings are only where it starts.
-//
-// Heartbeats carry ages, not times, so clocks need not agree: "I hold version 7
-// and knew 300 ms ago that it was the newest". A VM that holds the same version
-// is as sure of it as the sender, without asking the store; one that holds an
-// older version asks the sender for the newer one. So a data centre needs one
-// VM that reads the store. The first by rank does; the others follow when the
-// ages that they hear grow past what theirs may be, whatever the reason: it
-// died, it froze, the store refuses it, or the path to it is cut. No election
-// is held and nothing depends on there being exactly one.
+// Each VM sends heartbeats to the VMs of its own data centre often, and to some VMs
+// of other data centres less often. Messages are neither acknowledged nor repeated,
+// because the next heartbeat contains the same information. A VM learns the
+// addresses of others from heartbeats too, so the settings contain only the seeds.
+// In names, near stands for the own data centre and far for all others.
+//
+// Heartbeats contain ages rather than times, so clocks need not be synchronized: "I
+// hold version 7 and knew 300 ms ago that it was the newest". A VM that holds the
+// same version takes over that freshness without a request to the store. One that
+// holds an older version requests the newer one from the sender. So one VM of a data
+// centre that reads the store is enough. That is the first by rank. The others
+// read the store as well when the ages they receive exceed their own limits, whether
+// the first VM died, froze, is refused by the store or is partitioned. There is no
+// election, and nothing depends on exactly one VM reading the store.
 //
 // # Distribution of content
 //
@@ -33,9 +34,9 @@
 //   - Otherwise the response is a limited number of sections ([Section]) of the
 //     buckets whose digests differ from those in the request. The requester asks
 //     for the remaining ones, possibly from another VM.
-//   - A requested routing table is sent whole, in pieces ([Split], [Assembly]).
-//     So are registrations if sections cannot be used.
-//   - The list of evacuated data centres is sent whole, in one message
+//   - A requested routing table is sent completely, in chunks ([Split],
+//     [Assembly]). So are registrations if sections cannot be used.
+//   - The list of evacuated data centres is sent completely, in one message
 //     ([EvacuationList]).
 //
 // # Frequency of heartbeats
@@ -44,15 +45,16 @@
 // In a large data centre the fan-out depends on the recent requests of the VM,
 // except for the first VMs by rank and those that have just started (fanout.go).
 //
-// # What must hold
+// # Invariants
 //
-//   - A VM never takes over an older version than it holds. Of what the store
-//     numbers, a version of a later era is newer whatever its number.
-//   - What arrives in pieces is used only as a whole whose checksum fits.
-//   - Numbers of one life only grow: a message that is late, or recorded and
-//     sent again, changes nothing.
-//   - A VM that is silent for Options.Silent counts for nothing: not for rank,
-//     freshness or load.
+//   - A VM never replaces its version by an older one. Of versions that the store
+//     assigns, one of a later era is newer regardless of its number.
+//   - Content that arrives in several messages is used only once it is complete and
+//     its checksum matches.
+//   - Sequence numbers grow within an incarnation of a VM, so that delayed or
+//     replayed messages have no effect.
+//   - A VM that was silent for its timeout does not count for rank, freshness or
+//     load.
 //
 // The present time is an argument; no goroutine, no I/O.
 package heartbeat
--- a/core/heartbeat/fanout.go
+++ b/core/heartbeat/fanout.go
@@ -6,7 +6,7 @@
 	"baobabstep"
 )
 
-// fanouts are the numbers of VMs of the own data centre, and of all others, that get a
+// fanouts are the numbers of VMs, of the own data centre and of all others, that get a
 // heartbeat in a round.
 type fanouts struct{ near, far int }
 
@@ -24,15 +24,15 @@
 	// use the full fan-outs. They may have to read the store, so that the others need to
 	// detect their failure quickly.
 	storeReaders = 4
-	// startupPeriod is how long a VM uses the full fan-outs after its start, so that the
+	// fullFanoutPeriod is how long a VM uses the full fan-outs after its start, so that the
 	// VMs of a starting fleet discover each other.
-	startupPeriod = 8 * time.Second
+	fullFanoutPeriod = 8 * time.Second
 )
 
-// fanoutsFor returns the fan-outs for the given loads. In a large data centre with little
-// traffic, heartbeats at full fan-out would outnumber the requests.
-func (b *Board) fanoutsFor(now time.Time, loads []baobabstep.TargetLoad) fanouts {
-	full := fanouts{near: b.o.NearFanout, far: b.o.FarFanout}
+// computeFanouts returns the fan-outs for the given loads. In a large data centre with
+// little traffic, heartbeats at full fan-out would outnumber the requests.
+func (b *Board) computeFanouts(now time.Time, loads []baobabstep.TargetLoad) fanouts {
+	full := fanouts{near: b.options.NearFanout, far: b.options.FarFanout}
 	requests := 0.0
 	for i := range loads {
 		requests += loads[i].Requests
@@ -43,18 +43,18 @@
 	}
 	near, rank := 0, 0
 	for _, p := range b.peers {
-		if p.last == nil || p.last.DataCentre != b.o.DataCentre {
+		if p.last == nil || p.last.DataCentre != b.options.DataCentre {
 			continue
 		}
 		near++
-		if p.last.From < b.o.Self && b.live(now, p) {
+		if p.last.From < b.options.Self && b.isLive(now, p) {
 			rank++
 		}
 	}
 	if near < largeDataCentre {
 		adaptive = full
 	}
-	if now.Sub(b.started) < startupPeriod || rank < storeReaders {
+	if now.Sub(b.started) < fullFanoutPeriod || rank < storeReaders {
 		return full
 	}
 	return adaptive
--- a/core/heartbeat/fanout_test.go
+++ b/core/heartbeat/fanout_test.go
@@ -21,11 +21,11 @@
 		if number >= 9 {
 			number += 2
 		}
-		b.Handle(now, address(number), beat(number, 1, 1))
+		b.Handle(now, address(number), newHeartbeat(number, 1, 1))
 	}
 	b.Tick(now, own)
 	for range 50 {
-		now = now.Add(b.o.Near)
+		now = now.Add(b.options.Near)
 		for _, out := range b.Tick(now, own) {
 			if b.IsNear(out.To) {
 				sent++
@@ -77,7 +77,7 @@
 		boards[i] = newBoard(2*i + 1)
 		for j := range boards {
 			if i != j {
-				boards[i].Handle(start, address(2*j+1), beat(2*j+1, 1, 1))
+				boards[i].Handle(start, address(2*j+1), newHeartbeat(2*j+1, 1, 1))
 			}
 		}
 		boards[i].Tick(start, Own{})
@@ -98,34 +98,35 @@
 	}
 }
 
-// Guards against a newly started VM learning of other VMs only when its turn comes.
+// Guards against a newly started VM that learns of other VMs only when its turn comes.
 func TestNewPeersGetHeartbeat(t *testing.T) {
 	b := newBoard(1)
 	for n := 3; n < 120; n += 2 {
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	b.Tick(start, Own{})
 	for _, newPeer := range []int{121, 122} { // own data centre, other data centre
-		b.Handle(start, address(newPeer), beat(newPeer, 1, 1))
+		b.Handle(start, address(newPeer), newHeartbeat(newPeer, 1, 1))
 	}
 	answered := map[netip.AddrPort]bool{}
-	for _, out := range b.Tick(start.Add(b.o.Near), Own{}) {
+	for _, out := range b.Tick(start.Add(b.options.Near), Own{}) {
 		answered[out.To] = true
 	}
 	qt.Assert(t, answered[address(121)] && answered[address(122)], qt.IsTrue)
 }
 
-// Guards against VMs that never get a heartbeat because seeds that are gone take their places.
-func TestDeadSeedsTakeNoTurns(t *testing.T) {
+// Guards against VMs that never get a heartbeat because unreachable seeds take their
+// turns.
+func TestUnreachableSeedsTakeNoTurns(t *testing.T) {
 	b := newBoard(1, 201, 203, 205)
 	for n := 3; n < 35; n += 2 { // two rounds
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	now, heard := start, map[netip.AddrPort]bool{}
 	for range 40 {
-		now = now.Add(b.o.Near)
+		now = now.Add(b.options.Near)
 		for n := 3; n < 35; n += 2 {
-			b.Handle(now, address(n), beat(n, 1, uint64(now.Sub(start))))
+			b.Handle(now, address(n), newHeartbeat(n, 1, uint64(now.Sub(start))))
 		}
 		for _, out := range b.Tick(now, Own{}) {
 			heard[out.To] = true
@@ -136,12 +137,12 @@
 	}
 }
 
-// Guards against answers to new peers that fill the link of a seed.
+// Guards against answers to new peers that saturate the link of a seed.
 func TestAnswersToNewPeersAreBounded(t *testing.T) {
 	b := newBoard(1)
 	answered := 0
 	for n := 3; n < 600; n += 2 {
-		b.Handle(start, address(n), beat(n, 1, 1))
+		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 		for _, out := range b.AnswerNewPeers(start, ownWithRequests(10)) {
 			answered++
 			qt.Assert(t, out.Message.Heartbeat.Loads, qt.HasLen, 0)
--- a/core/heartbeat/fragment.go
+++ b/core/heartbeat/fragment.go
@@ -70,9 +70,9 @@
 }
 
 type unfinishedMessage struct {
-	since time.Time
-	parts [][]byte
-	left  int
+	startedAt time.Time
+	parts     [][]byte
+	left      int
 }
 
 // Add adds a fragment. It returns the message once all fragments have arrived, and nil
@@ -99,7 +99,7 @@
 	if Sum(encoded) != f.Check {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.fragments", "checksum mismatch in reassembled message")
 	}
-	m, err := unmarshal(bodyMode, encoded)
+	m, err := unmarshal(largeDecMode, encoded)
 	if err == nil && m.Fragment != nil {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.fragments", "nested fragment in reassembled message")
 	}
@@ -114,16 +114,16 @@
 	}
 	var oldest fragmentKey
 	for k, u := range a.unfinished {
-		if now.Sub(u.since) >= fragmentTimeout {
+		if now.Sub(u.startedAt) >= fragmentTimeout {
 			delete(a.unfinished, k)
-		} else if o := a.unfinished[oldest]; o == nil || u.since.Before(o.since) {
+		} else if o := a.unfinished[oldest]; o == nil || u.startedAt.Before(o.startedAt) {
 			oldest = k
 		}
 	}
 	if len(a.unfinished) >= maxUnfinishedMessages {
 		delete(a.unfinished, oldest)
 	}
-	u := &unfinishedMessage{since: now, parts: make([][]byte, count), left: count}
+	u := &unfinishedMessage{startedAt: now, parts: make([][]byte, count), left: count}
 	a.unfinished[key] = u
 	return u
 }
--- a/core/heartbeat/history.go
+++ b/core/heartbeat/history.go
@@ -13,47 +13,48 @@
 // History keeps the latest changes of registrations, so that a VM that missed some can
 // be sent only those. The zero value is empty.
 type History struct {
-	steps []step
-	size  int
+	changes []historyChange
+	size    int
 }
 
-// step is the difference between the registrations of two revisions.
-type step struct {
+// historyChange is the difference between the registrations of two revisions.
+type historyChange struct {
 	from, to baobabstep.Revision
 	Difference
 }
 
-func (s *step) size() int { return len(s.Put) + len(s.Gone) }
+func (s *historyChange) size() int { return len(s.Put) + len(s.Gone) }
 
-// Add appends the difference between two revisions. It first clears the history if from
-// is not the latest recorded revision, or if the store has not reached from.
+// Add appends the difference between two revisions. It clears the history first if from is
+// not the latest recorded revision. It clears the history without adding anything if to
+// precedes from, which means that the store has not reached from.
 func (h *History) Add(from, to baobabstep.Revision, d Difference) {
-	if n := len(h.steps); n > 0 && h.steps[n-1].to != from {
+	if n := len(h.changes); n > 0 && h.changes[n-1].to != from {
 		*h = History{}
 	}
 	if to.Before(from) {
 		*h = History{}
 		return
 	}
-	h.steps = append(h.steps, step{from: from, to: to, Difference: d})
-	h.size += h.steps[len(h.steps)-1].size()
+	h.changes = append(h.changes, historyChange{from: from, to: to, Difference: d})
+	h.size += h.changes[len(h.changes)-1].size()
 	drop := 0
-	for h.size > maxHistory && drop < len(h.steps) {
-		h.size -= h.steps[drop].size()
+	for h.size > maxHistory && drop < len(h.changes) {
+		h.size -= h.changes[drop].size()
 		drop++
 	}
-	h.steps = slices.Delete(h.steps, 0, drop)
+	h.changes = slices.Delete(h.changes, 0, drop)
 }
 
 // Move advances the latest recorded revision without a change of registrations.
 func (h *History) Move(to baobabstep.Revision) {
-	n := len(h.steps)
+	n := len(h.changes)
 	switch {
 	case n == 0:
-	case to.Before(h.steps[n-1].to):
+	case to.Before(h.changes[n-1].to):
 		*h = History{}
 	default:
-		h.steps[n-1].to = to
+		h.changes[n-1].to = to
 	}
 }
 
@@ -61,12 +62,12 @@
 // ones, or false if the history does not reach back that far. The difference may
 // include targets that did not change.
 func (h *History) Since(revision baobabstep.Revision) (d Difference, ok bool) {
-	if len(h.steps) == 0 || revision.Before(h.steps[0].from) {
+	if len(h.changes) == 0 || revision.Before(h.changes[0].from) {
 		return d, false
 	}
 	last := make(map[baobabstep.TargetID]*baobabstep.Registration)
-	for i := range h.steps {
-		s := &h.steps[i]
+	for i := range h.changes {
+		s := &h.changes[i]
 		if !revision.Before(s.to) {
 			continue
 		}
--- a/core/heartbeat/history_test.go
+++ b/core/heartbeat/history_test.go
@@ -9,7 +9,8 @@
 	"baobabstep"
 )
 
-// Guards against missed changes that, once applied, give other registrations than the sender's.
+// Guards against recorded changes that, once applied, give registrations other than the
+// sender's.
 func TestHistorySince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h History
@@ -58,7 +59,7 @@
 	for i := range uint64(3 * maxHistory) {
 		h.Add(revisionOf(i+1), revisionOf(i+2), Difference{Gone: []baobabstep.TargetID{baobabstep.TargetID(i + 1)}})
 	}
-	qt.Assert(t, len(h.steps), qt.Equals, maxHistory)
+	qt.Assert(t, len(h.changes), qt.Equals, maxHistory)
 	_, ok := h.Since(revisionOf(2 * maxHistory))
 	qt.Assert(t, ok, qt.IsFalse)
 	d, ok := h.Since(revisionOf(3*maxHistory - 1))
@@ -73,8 +74,9 @@
 	return baobabstep.Registration{ID: id, Service: "s", DataCentre: "dc", Address: address(int(id)), Slots: 1}
 }
 
-// Guards against changes of a revision that the store has not reached, which a copy of it announced.
-func TestHistoryEndsWhereRevisionsGoBack(t *testing.T) {
+// Guards against recorded changes of a revision that the store has not reached, but a copy
+// of it has announced.
+func TestHistoryIsClearedWhenRevisionsGoBack(t *testing.T) {
 	var h History
 	h.Add(revisionOf(400), revisionOf(500), Difference{Gone: []baobabstep.TargetID{1}})
 	h.Add(revisionOf(500), revisionOf(450), Difference{Gone: []baobabstep.TargetID{2}})
--- a/core/heartbeat/load.go
+++ b/core/heartbeat/load.go
@@ -12,29 +12,29 @@
 	"baobabstep"
 )
 
-// tally is the sum of what live VMs say of targets. It is kept as heartbeats come:
-// what thousands of VMs say is too much to sum up anew at each look. Whole
-// numbers, so that what was added can be taken off again exactly.
-type tally map[baobabstep.TargetID]*tallied
+// targetSums are the summed loads of targets over the live VMs. They are updated with each
+// heartbeat, because a new sum over the loads of thousands of VMs would be too expensive
+// at each read. The sums are integers, so that subtraction exactly reverses addition.
+type targetSums map[baobabstep.TargetID]*targetSum
 
-// tallied is the sum for one target.
-type tallied struct {
+// targetSum is the summed load of one target.
+type targetSum struct {
 	tenths uint64
-	// answers and failed are in tenths, took is the times of answers that did
-	// not fail, in tenths times milliseconds.
-	answers, failed, took uint64
-	// callers counts, for each bit of Load.Callers, the VMs that say it.
+	// answers and failed are in tenths. latency is the sum of the response times of the
+	// other answers, in tenths times milliseconds.
+	answers, failed, latency uint64
+	// callers counts, for each bit of Load.Callers, the VMs that report it.
 	callers [16]uint16
 }
 
-func (t tally) add(loads Loads) {
+func (t targetSums) add(loads Loads) {
 	for _, l := range loads {
 		sum := t[l.Target]
 		if sum == nil {
 			if l.Tenths == 0 && l.AnswerTenths == 0 {
 				continue
 			}
-			sum = new(tallied)
+			sum = new(targetSum)
 			t[l.Target] = sum
 		}
 		sum.tenths += uint64(l.Tenths)
@@ -44,7 +44,7 @@
 	}
 }
 
-func (t tally) remove(loads Loads) {
+func (t targetSums) remove(loads Loads) {
 	for _, l := range loads {
 		sum := t[l.Target]
 		if sum == nil {
@@ -60,41 +60,43 @@
 	}
 }
 
-func (s *tallied) addAnswers(l *Load) {
+func (s *targetSum) addAnswers(l *Load) {
 	s.answers += uint64(l.AnswerTenths)
 	s.failed += l.failedTenths()
-	s.took += l.tookTenths()
+	s.latency += l.latencyTenths()
 	for set := l.Callers; set != 0; set &= set - 1 {
 		s.callers[bits.TrailingZeros16(set)]++
 	}
 }
 
-func (s *tallied) removeAnswers(l *Load) {
+func (s *targetSum) removeAnswers(l *Load) {
 	s.answers -= uint64(l.AnswerTenths)
 	s.failed -= l.failedTenths()
-	s.took -= l.tookTenths()
+	s.latency -= l.latencyTenths()
 	for set := l.Callers; set != 0; set &= set - 1 {
 		s.callers[bits.TrailingZeros16(set)]--
 	}
 }
 
-// failedTenths returns FailedTenths, which a broken sender may say too high.
+// failedTenths returns FailedTenths, limited to AnswerTenths in case of an incorrect
+// sender.
 func (l *Load) failedTenths() uint64 { return uint64(min(l.FailedTenths, l.AnswerTenths)) }
 
-// tookTenths returns the sum of the times of answers that did not fail.
-func (l *Load) tookTenths() uint64 {
+// latencyTenths returns the sum of the response times of the answers that did not fail, in
+// tenths times milliseconds.
+func (l *Load) latencyTenths() uint64 {
 	return uint64(l.TookMS) * (uint64(l.AnswerTenths) - l.failedTenths())
 }
 
-// load returns the sum as the router takes it.
-func (s *tallied) load() baobabstep.TargetLoad {
-	load := baobabstep.TargetLoad{Requests: float64(s.tenths) / tenths}
+// load returns the sum in the form that the router uses.
+func (s *targetSum) load() baobabstep.TargetLoad {
+	load := baobabstep.TargetLoad{Requests: float64(s.tenths) / tenthsPerRequest}
 	if s.answers == 0 {
 		return load
 	}
-	load.Answers, load.Failed = float64(s.answers)/tenths, float64(s.failed)/tenths
-	if good := s.answers - s.failed; good > 0 {
-		load.Took = time.Duration(s.took) * time.Millisecond / time.Duration(good)
+	load.Answers, load.Failed = float64(s.answers)/tenthsPerRequest, float64(s.failed)/tenthsPerRequest
+	if succeeded := s.answers - s.failed; succeeded > 0 {
+		load.Took = time.Duration(s.latency) * time.Millisecond / time.Duration(succeeded)
 	}
 	for bit, vms := range s.callers {
 		if vms > 0 {
@@ -104,19 +106,19 @@
 	return load
 }
 
-// count makes the tally hold a peer's loads, or no longer.
-func (b *Board) count(p *peer, counted bool) {
+// setLoadsCounted adds the loads of a peer to loadSums, or removes them.
+func (b *Board) setLoadsCounted(p *peer, counted bool) {
 	switch {
-	case p.counted == counted:
+	case p.loadsCounted == counted:
 		return
 	case counted:
-		b.tally.add(p.last.Loads)
+		b.loadSums.add(p.last.Loads)
 	default:
-		b.tally.remove(p.last.Loads)
+		b.loadSums.remove(p.last.Loads)
 	}
-	p.counted = counted
+	p.loadsCounted = counted
 	for i := range p.last.Loads {
-		b.changed[p.last.Loads[i].Target] = struct{}{}
+		b.changedTargets[p.last.Loads[i].Target] = struct{}{}
 	}
 	b.markReportsChanged(p)
 }
@@ -124,47 +126,47 @@
 // markReportsChanged marks the targets in a peer's reports as changed.
 func (b *Board) markReportsChanged(p *peer) {
 	for id := range p.reports {
-		b.changed[id] = struct{}{}
+		b.changedTargets[id] = struct{}{}
 	}
 }
 
-func (l Load) hasEvidence() bool { return l.tellsSilence() || l.AnswerTenths > 0 }
+func (l Load) hasDetails() bool { return l.hasSilence() || l.AnswerTenths > 0 }
 
-func (l Load) tellsSilence() bool { return l.Unanswered > 0 || l.Opens > 0 || l.HeardMS > 0 }
+func (l Load) hasSilence() bool { return l.Unanswered > 0 || l.Opens > 0 || l.HeardMS > 0 }
 
-// Repeat makes the next Loads return the loads of targets again.
+// Repeat marks targets as changed, so that the next call of Loads includes them.
 func (b *Board) Repeat(targets []baobabstep.TargetID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, id := range targets {
-		b.changed[id] = struct{}{}
+		b.changedTargets[id] = struct{}{}
 	}
 }
 
-// Loads returns what the live VMs say of targets, for those targets whose load may
-// have changed since the previous call: the requests and answers of all VMs, and what
-// those of the own data centre say of silent targets. What VMs elsewhere find silent
-// may be their path to the target. The value is zero for a target that no VM reports
-// any more.
+// Loads returns the loads that the live VMs report, for the targets whose load may have
+// changed since the previous call: the requests and answers of all VMs, and the silence
+// reports of those of the own data centre. A target that is silent for VMs of other data
+// centres may only be unreachable from there. The value is zero for a target that no VM
+// reports any more.
 func (b *Board) Loads(now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.peers {
 		if p.last != nil {
-			b.count(p, b.live(now, p))
+			b.setLoadsCounted(p, b.isLive(now, p))
 		}
 	}
-	loads := make(map[baobabstep.TargetID]baobabstep.TargetLoad, len(b.changed))
-	for id := range b.changed {
-		if sum := b.tally[id]; sum != nil {
+	loads := make(map[baobabstep.TargetID]baobabstep.TargetLoad, len(b.changedTargets))
+	for id := range b.changedTargets {
+		if sum := b.loadSums[id]; sum != nil {
 			loads[id] = sum.load()
 		} else {
 			loads[id] = baobabstep.TargetLoad{}
 		}
 	}
-	clear(b.changed)
+	clear(b.changedTargets)
 	for _, p := range b.peers {
-		if !p.counted || p.last.DataCentre != b.o.DataCentre {
+		if !p.loadsCounted || p.last.DataCentre != b.options.DataCentre {
 			continue
 		}
 		for id, r := range p.reports {
@@ -177,41 +179,41 @@
 	return loads
 }
 
-// maxHeard is the greatest HeardMS.
-const maxHeard = 1<<16 - 1
+// maxHeardMS is the largest HeardMS.
+const maxHeardMS = 1<<16 - 1
 
-// maxLeft is the greatest LeftMS that is told: what is older counts for nothing,
-// and would take a third byte.
-const maxLeft = 1<<14 - 1
+// maxLeftMS is the largest LeftMS that is sent. Older flows have no effect, and larger
+// values would take a third byte.
+const maxLeftMS = 1<<14 - 1
 
-// maxCount is the greatest count of flows that a Load says.
+// maxCount is the largest count of flows that a Load can hold.
 const maxCount = 255
 
-// tenths is the number of units of Load.Tenths in a request.
-const tenths = 10
+// tenthsPerRequest is the number of units of Load.Tenths per request.
+const tenthsPerRequest = 10
 
-// MakeLoads returns what a heartbeat says of targets, of at most the given
-// number: of the most loaded ones, where there are too many, and first of those
-// that leave flows unanswered, or do so by the word of others.
-func MakeLoads(now time.Time, own []baobabstep.TargetLoad, most int) Loads {
+// MakeLoads returns the loads for a heartbeat, sorted by target. It is limited to most
+// targets. Those that leave flows unanswered are preferred, then those that other VMs
+// report as silent, then those with the most failures, answers and requests.
+func MakeLoads(now time.Time, own []baobabstep.TargetLoad, limit int) Loads {
 	loads := make(Loads, 0, len(own))
 	for _, l := range own {
 		load := Load{
-			Target: l.Target, Tenths: uint32(l.Requests * tenths),
-			Unanswered: toldCount(l.Unanswered), Opens: toldCount(l.Opens), Vanished: toldCount(l.Vanished),
+			Target: l.Target, Tenths: uint32(l.Requests * tenthsPerRequest),
+			Unanswered: sentCount(l.Unanswered), Opens: sentCount(l.Opens), Vanished: sentCount(l.Vanished),
 		}
 		if l.Disputed && !l.HeardAt.IsZero() {
-			load.HeardMS = uint16(min(max(1, now.Sub(l.HeardAt).Milliseconds()), maxHeard))
+			load.HeardMS = uint16(min(max(1, now.Sub(l.HeardAt).Milliseconds()), maxHeardMS))
 		}
 		if load.Unanswered > 0 {
-			load.LeftMS = uint16(min(max(0, now.Sub(l.LeftAt).Milliseconds()), maxLeft))
+			load.LeftMS = uint16(min(max(0, now.Sub(l.LeftAt).Milliseconds()), maxLeftMS))
 		}
 		if l.Answers > 0 {
-			load.AnswerTenths, load.FailedTenths = tenthsOf(l.Answers), tenthsOf(min(l.Failed, l.Answers))
+			load.AnswerTenths, load.FailedTenths = toTenths(l.Answers), toTenths(min(l.Failed, l.Answers))
 			load.TookMS = uint16(min(l.Took.Milliseconds(), math.MaxUint16))
 			load.Callers = l.Callers
 		}
-		if load.Tenths > 0 || load.hasEvidence() {
+		if load.Tenths > 0 || load.hasDetails() {
 			loads = append(loads, load)
 		}
 	}
@@ -221,19 +223,19 @@
 			cmp.Compare(b.AnswerTenths, a.AnswerTenths), cmp.Compare(b.Tenths, a.Tenths), cmp.Compare(a.Target, b.Target),
 		)
 	})
-	loads = loads[:min(len(loads), most)]
+	loads = loads[:min(len(loads), limit)]
 	sortLoads(loads)
 	return loads
 }
 
-// mostTold is the greatest count of flows that is told: more says no more, and
-// takes a second byte.
-const mostTold = 100
+// maxSentCount is the largest count of flows that is sent. Larger ones have no additional
+// effect, and would take a second byte.
+const maxSentCount = 100
 
-func toldCount(flows int) uint8 { return uint8(min(flows, mostTold)) }
+func sentCount(flows int) uint8 { return uint8(min(flows, maxSentCount)) }
 
-// tenthsOf returns a count as it travels.
-func tenthsOf(count float64) uint16 { return uint16(min(count*tenths, math.MaxUint16)) }
+// toTenths converts a count into tenths, limited to the range of the encoding.
+func toTenths(count float64) uint16 { return uint16(min(count*tenthsPerRequest, math.MaxUint16)) }
 
 func sortLoads(l Loads) {
 	slices.SortFunc(l, func(a, b Load) int { return cmp.Compare(a.Target, b.Target) })
@@ -244,15 +246,14 @@
 	_ encoding.BinaryUnmarshaler = (*Loads)(nil)
 )
 
-// MarshalBinary implements [encoding.BinaryMarshaler]: for each load the
-// distance to the target before, the tenths doubled and 1 more if evidence
-// follows, all as varints, and the evidence: its length in one byte, and its
-// values as varints, of which a receiver takes those that it knows. A target
-// with a random identifier of 40 bits takes 6 to 7 bytes so, in place of 16 as
-// CBOR, and 7 to 10 more with evidence. The loads must be sorted by target.
-// Errors: CodeInternal.
+// MarshalBinary implements [encoding.BinaryMarshaler]. A load is encoded as two varints:
+// the difference to the previous target, and twice the tenths, plus 1 if details follow.
+// The details are their length in one byte and their values as varints; receivers ignore
+// values that they do not know. A target with a random 40-bit identifier takes 6 to 7
+// bytes, compared to 16 in CBOR, and 7 to 10 more with details. The loads must be sorted
+// by target. Errors: CodeInternal.
 func (l Loads) MarshalBinary() ([]byte, error) {
-	b := make([]byte, 0, len(l)*loadBytes)
+	b := make([]byte, 0, len(l)*typicalLoadBytes)
 	last := baobabstep.TargetID(0)
 	for i, load := range l {
 		if i > 0 && load.Target <= last {
@@ -261,20 +262,19 @@
 		b = binary.AppendUvarint(b, uint64(load.Target-last))
 		last = load.Target
 		doubled := uint64(load.Tenths) << 1
-		if !load.hasEvidence() {
+		if !load.hasDetails() {
 			b = binary.AppendUvarint(b, doubled)
 			continue
 		}
 		b = binary.AppendUvarint(b, doubled|1)
-		b = load.appendEvidence(b)
+		b = load.appendDetails(b)
 	}
 	return b, nil
 }
 
-// appendEvidence appends the evidence with its length. Values at the end that
-// are 0 are left out.
-func (l Load) appendEvidence(b []byte) []byte {
-	values := l.evidence()
+// appendDetails appends the details with their length. Trailing zero values are omitted.
+func (l Load) appendDetails(b []byte) []byte {
+	values := l.details()
 	count := len(values)
 	for count > 0 && values[count-1] == 0 {
 		count--
@@ -288,16 +288,16 @@
 	return b
 }
 
-// evidenceValues is the number of values of the evidence.
-const evidenceValues = 9
+// numDetails is the number of values in the details.
+const numDetails = 9
 
-// evidence returns the values of the evidence in the order in which they travel.
-func (l Load) evidence() [evidenceValues]uint16 {
+// details returns the values of the details in their order on the wire.
+func (l Load) details() [numDetails]uint16 {
 	return [...]uint16{uint16(l.Unanswered), uint16(l.Opens), l.HeardMS, l.AnswerTenths, l.FailedTenths, l.TookMS, l.Callers, l.LeftMS, uint16(l.Vanished)}
 }
 
-// setEvidence takes in values in that order.
-func (l *Load) setEvidence(v [evidenceValues]uint16) {
+// setDetails sets the values of the details, given in their order on the wire.
+func (l *Load) setDetails(v [numDetails]uint16) {
 	l.Unanswered, l.Opens, l.Vanished = uint8(min(v[0], maxCount)), uint8(min(v[1], maxCount)), uint8(min(v[8], maxCount))
 	l.HeardMS, l.AnswerTenths, l.FailedTenths, l.TookMS, l.Callers, l.LeftMS = v[2], v[3], v[4], v[5], v[6], v[7]
 }
@@ -308,7 +308,7 @@
 	last := baobabstep.TargetID(0)
 	for len(b) > 0 {
 		if len(list) == maxLoads {
-			return malformedLoads("more than %d", maxLoads)
+			return malformedLoads("more than %d loads", maxLoads)
 		}
 		var load Load
 		var err error
@@ -317,7 +317,7 @@
 		}
 		load.Target += last
 		if len(list) > 0 && load.Target <= last {
-			return malformedLoads("target %x after %x", uint64(load.Target), uint64(last))
+			return malformedLoads("target %x after %x, want ascending ones", uint64(load.Target), uint64(last))
 		}
 		last = load.Target
 		list = append(list, load)
@@ -326,16 +326,16 @@
 	return nil
 }
 
-// nextLoad takes one load off b; its target is the distance to the one before.
+// nextLoad decodes the first load in b. Its target is the difference to the previous one.
 func nextLoad(b []byte) (load Load, rest []byte, err error) {
 	distance, n := binary.Uvarint(b)
 	if n <= 0 {
-		return load, nil, malformedLoads("%d bytes without a target", len(b))
+		return load, nil, malformedLoads("%d bytes without a valid target", len(b))
 	}
 	b = b[n:]
 	doubled, n := binary.Uvarint(b)
 	if n <= 0 || doubled>>1 > math.MaxUint32 {
-		return load, nil, malformedLoads("%d bytes without requests", len(b))
+		return load, nil, malformedLoads("%d bytes without a valid number of requests", len(b))
 	}
 	b = b[n:]
 	load.Target, load.Tenths = baobabstep.TargetID(distance), uint32(doubled>>1)
@@ -343,33 +343,33 @@
 		return load, b, nil
 	}
 	if len(b) == 0 || len(b) <= int(b[0]) {
-		return load, nil, malformedLoads("%d bytes of evidence, want their length and as many", len(b))
+		return load, nil, malformedLoads("%d bytes of details, want their length and as many bytes", len(b))
 	}
-	evidence, rest := b[1:1+int(b[0])], b[1+int(b[0]):]
-	return load, rest, load.takeEvidence(evidence)
+	details, rest := b[1:1+int(b[0])], b[1+int(b[0]):]
+	return load, rest, load.decodeDetails(details)
 }
 
-// takeEvidence takes in the evidence in b. Values that later versions added
-// stand at the end and are passed over.
-func (l *Load) takeEvidence(b []byte) error {
-	var values [evidenceValues]uint16
+// decodeDetails decodes the details in b. It ignores the additional values of later
+// versions, which follow the known ones.
+func (l *Load) decodeDetails(b []byte) error {
+	var values [numDetails]uint16
 	for i := range values {
 		if len(b) == 0 {
 			break
 		}
 		v, n := binary.Uvarint(b)
 		if n <= 0 || v > math.MaxUint16 {
-			return malformedLoads("%d bytes without a value of evidence", len(b))
+			return malformedLoads("%d bytes without a valid value of the details", len(b))
 		}
 		values[i] = uint16(v)
 		b = b[n:]
 	}
-	l.setEvidence(values)
+	l.setDetails(values)
 	return nil
 }
 
-// loadBytes is what most loads take.
-const loadBytes = 8
+// typicalLoadBytes is the encoded size of most loads, in bytes.
+const typicalLoadBytes = 8
 
 func malformedLoads(format string, args ...any) error {
 	return baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.loads", "got "+format, args...)
--- a/core/heartbeat/load_test.go
+++ b/core/heartbeat/load_test.go
@@ -9,7 +9,7 @@
 	"baobabstep"
 )
 
-func TestLoadsKeepTheirValues(t *testing.T) {
+func TestLoadsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.Uint64(), 0, maxLoads, rapid.ID[uint64]).Draw(t, "ids")
 		var want Loads
@@ -46,9 +46,9 @@
 	})
 }
 
-// A peer of another version, or a bug, sends bytes that are no loads. None of
-// them may be taken for some, nor end the program.
-func TestBytesThatAreNoLoads(t *testing.T) {
+// Guards against panics on malformed loads from a peer of another version, and against
+// accepting them.
+func TestMalformedLoads(t *testing.T) {
 	good, err := Loads{{Target: 300, Tenths: 7, Unanswered: 1, HeardMS: 9}}.MarshalBinary()
 	qt.Assert(t, err, qt.IsNil)
 	many := make(Loads, maxLoads)
@@ -61,13 +61,13 @@
 		name string
 		raw  []byte
 	}{
-		{"cut in the evidence", good[:len(good)-1]},
-		{"cut after the target", good[:2]},
-		{"a target twice", append(append([]byte{}, 5, 2), 0, 2)},
-		{"a number of eleven bytes", []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 2}},
-		{"targets past the greatest", append([]byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 2}, 1, 2)},
-		{"more requests than a number holds", []byte{5, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1}},
-		{"one too many", append(append([]byte{}, full...), 1, 2)},
+		{"truncated details", good[:len(good)-1]},
+		{"truncated after the target", good[:2]},
+		{"duplicate target", append(append([]byte{}, 5, 2), 0, 2)},
+		{"varint of eleven bytes", []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 2}},
+		{"target overflow", append([]byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 2}, 1, 2)},
+		{"requests overflow", []byte{5, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1}},
+		{"one load too many", append(append([]byte{}, full...), 1, 2)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var l Loads
@@ -77,16 +77,16 @@
 	}
 }
 
-func TestLoadsOutOfOrderAreNotSent(t *testing.T) {
+func TestUnsortedLoadsAreRejected(t *testing.T) {
 	for _, l := range []Loads{{{Target: 2}, {Target: 1}}, {{Target: 2}, {Target: 2}}} {
 		_, err := l.MarshalBinary()
 		qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeInternal)
 	}
 }
 
-// What a heartbeat costs is mostly its loads; 55 of targets with random
-// identifiers took 915 bytes as CBOR arrays.
-func TestLoadsArePacked(t *testing.T) {
+// Guards against a larger encoding of loads, which take most of a heartbeat. As CBOR
+// arrays, 55 loads of targets with random identifiers took 915 bytes.
+func TestLoadsEncodingIsCompact(t *testing.T) {
 	list := make(Loads, maxLoads)
 	for i := range list {
 		list[i] = Load{Target: baobabstep.TargetID(i+1) * 19_991_234_567, Tenths: 150}
--- a/core/heartbeat/main_test.go
+++ b/core/heartbeat/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of randomised runs, so that each run has one verdict;
-// -args -rapid.seed=N plays others.
+// TestMain fixes the seed of randomized tests, so that their results are reproducible.
+// -args -rapid.seed=N selects another seed.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
--- a/core/heartbeat/message.go
+++ b/core/heartbeat/message.go
@@ -9,29 +9,28 @@
 	"baobabstep"
 )
 
-// MaxMessage bounds an encoded message in bytes: one datagram that no link of
-// 1,500 bytes has to cut, with room for the code that authenticates it.
+// MaxMessage limits the size of an encoded message in bytes. With its authentication code,
+// it fits into one unfragmented datagram at an MTU of 1,500 bytes.
 const MaxMessage = 1340
 
-// Limits of what a heartbeat carries. It stays below MaxMessage, and with the
-// fan-outs of [Options] a VM sends at most 18 KB a second of heartbeats, of the
-// 20 KB that control may take (BenchmarkHeartbeats in package entry).
+// Limits of the content of a heartbeat. They keep it below MaxMessage. With the fan-outs
+// of [Options] a VM sends at most 18 KB of heartbeats per second, of a control traffic
+// limit of 20 KB per second (BenchmarkHeartbeats in package entry).
 const (
 	maxLoads = 50
-	// farLoads is the number for VMs of other data centres, which send few of
+	// maxFarLoads is the limit of loads for VMs of other data centres, which send few of
 	// their flows to the same targets.
-	farLoads = 20
-	maxPeers = 4
+	maxFarLoads = 20
+	maxPeers    = 4
 )
 
-// formatVersion is the version of messages that this program sends.
+// formatVersion is the version of the messages that this program sends.
 //
-// A fleet is replaced VM by VM, so programs one version apart talk to each
-// other. Fields travel under numbers: a receiver skips those that it does not
-// know, and takes those that are missing for zero. A new field so needs a new
-// number and a zero that means "not said"; a number is never used again. The
-// version itself decides nothing. It tells a later message with a part that
-// this program does not know from a malformed one.
+// A fleet is updated VM by VM, so programs one version apart exchange messages. Fields
+// have numbers. A receiver skips fields that it does not know, and takes missing ones as
+// zero. So a new field needs a new number, and zero must mean that it is not set; a number
+// is never reused. The version only distinguishes a later message with a part that this
+// program does not know from a malformed one.
 const formatVersion = 5
 
 // Message is one message between VMs. Exactly one of its parts is set.
@@ -43,31 +42,31 @@
 	Piece     *Piece     `cbor:"4,keyasint,omitempty"`
 	Change    *Change    `cbor:"5,keyasint,omitempty"`
 	Alarm     *Alarm     `cbor:"6,keyasint,omitempty"`
-	// Evacuations is all that the sender holds of that kind.
+	// Evacuations is the complete list of the sender.
 	Evacuations *EvacuationList `cbor:"7,keyasint,omitempty"`
 	Fragment    *Fragment       `cbor:"8,keyasint,omitempty"`
 	Section     *Section        `cbor:"9,keyasint,omitempty"`
 }
 
-// Heartbeat is what a VM says of itself.
+// Heartbeat is the state that a VM reports to others.
 type Heartbeat struct {
 	From       baobabstep.VMID `cbor:"1,keyasint"`
 	DataCentre string          `cbor:"2,keyasint"`
-	// Life is when the VM started, by its own clock in milliseconds; a later
-	// life has a greater one. Number counts the heartbeats of this life.
+	// Life is the incarnation number of the VM: its start time by its own clock, in
+	// milliseconds. Number is the sequence number within the incarnation.
 	Life   uint64 `cbor:"3,keyasint"`
 	Number uint64 `cbor:"4,keyasint"`
 	// Leaving is set once the VM has begun a planned stop.
 	Leaving bool `cbor:"5,keyasint,omitempty"`
 	// Blind is set while the sender cannot read the store.
 	Blind bool `cbor:"6,keyasint,omitempty"`
-	// Held is what the sender holds of Routes and Targets.
-	Held  [pieceKinds]Held `cbor:"7,keyasint"`
-	Loads Loads            `cbor:"8,keyasint"`
-	// Peers are some VMs that the sender hears.
+	// Held are the sender's versions of Routes and Targets.
+	Held  [chunkedKinds]Held `cbor:"7,keyasint"`
+	Loads Loads              `cbor:"8,keyasint"`
+	// Peers are some VMs from which the sender receives heartbeats.
 	Peers []netip.AddrPort `cbor:"9,keyasint,omitempty"`
-	// HeldEvacuations is what Held would say of Evacuations; a version 0 is that
-	// of a sender that knows nothing of that kind.
+	// HeldEvacuations is the sender's version of Evacuations. The version number is 0 if
+	// the sender does not support that kind.
 	HeldEvacuations Held `cbor:"10,keyasint,omitzero"`
 	// TurnMS is the time in milliseconds in which the sender sends one heartbeat to each
 	// VM of its data centre or, for a receiver elsewhere, of all others; 0 if not set.
@@ -82,7 +81,7 @@
 	return min(time.Duration(h.TurnMS)*time.Millisecond, maxTurn)
 }
 
-// HeldOf returns what the sender says of a kind.
+// HeldOf returns the sender's version of a kind.
 func (h *Heartbeat) HeldOf(kind Kind) Held {
 	if kind == Evacuations {
 		return h.HeldEvacuations
@@ -90,42 +89,43 @@
 	return h.Held[kind]
 }
 
-// Kind is something that VMs hold in common.
+// Kind is a kind of content that VMs share.
 type Kind uint8
 
-// Kinds of what VMs hold. The comment of each is its name in logs.
+// Kinds of content. The line comment of each is its name in logs.
 const (
-	// Routes is the routing table; its version is the table's, which belongs to no
-	// era: operators only raise it.
+	// Routes is the routing table. Its version number is that of the table. It has no era,
+	// because operators only increase it.
 	Routes Kind = iota // routes
-	// Targets are the registrations; their version is the store's revision
-	// when they were read, which moves on without changing them.
+	// Targets are the registrations. Their version is the revision of the store when they
+	// were read, which also increases without a change of registrations.
 	Targets // targets
-	// Evacuations are the data centres that get no new flow; their version is
-	// the store's revision, as that of Targets.
+	// Evacuations are the data centres that get no new flows. Their version is the
+	// revision of the store, as for Targets.
 	Evacuations // evacuations
 
-	// Kinds is their number, and pieceKinds that of those which travel in pieces.
-	Kinds      = 3
-	pieceKinds = 2
+	// Kinds is the number of kinds, and chunkedKinds the number of those that are sent in
+	// chunks.
+	Kinds        = 3
+	chunkedKinds = 2
 )
 
-// Held says which version of one kind a VM holds and how fresh it is.
+// Held describes the version of one kind of content that a VM holds, and its freshness.
 type Held struct {
 	// Version is 0 if the VM holds none.
 	Version uint64 `cbor:"1,keyasint,omitempty"`
 	// Sum is the checksum of the content.
 	Sum uint64 `cbor:"2,keyasint,omitempty"`
-	// AgeMS is how long ago the store, or a VM that had asked it, was known
-	// to hold nothing newer.
+	// AgeMS is the time, in milliseconds, since the store was last known to hold nothing
+	// newer, either by a request of the sender or of another VM.
 	AgeMS uint32 `cbor:"3,keyasint,omitempty"`
-	// Era is that of the store's revision in Version; 0 for routes.
+	// Era is the era of the store's revision in Version, and 0 for routes.
 	Era uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// MakeHeld returns what a VM says of what it holds.
+// MakeHeld returns the description of content with the given revision, checksum and age.
 func MakeHeld(revision baobabstep.Revision, sum uint64, age time.Duration) Held {
-	return Held{Version: revision.Number, Era: revision.Era, Sum: sum, AgeMS: uint32(min(max(0, age.Milliseconds()), maxAge))}
+	return Held{Version: revision.Number, Era: revision.Era, Sum: sum, AgeMS: uint32(min(max(0, age.Milliseconds()), maxAgeMS))}
 }
 
 // Revision returns Version with its era.
@@ -136,99 +136,100 @@
 // Age returns AgeMS as a duration.
 func (h Held) Age() time.Duration { return time.Duration(h.AgeMS) * time.Millisecond }
 
-// Vouches returns how long ago the store was known to hold nothing newer than
-// the content with the given checksum, by the sender's word; false if the sender
-// holds another or none.
+// Vouches returns the time since the store was last known, by the sender, to hold nothing
+// newer than the content with the given checksum. It returns false if the sender holds
+// other content or none.
 func (h *Heartbeat) Vouches(kind Kind, sum uint64) (age time.Duration, ok bool) {
 	held := h.HeldOf(kind)
 	return held.Age(), held.Version > 0 && held.Sum == sum
 }
 
-// Load is what the sender sends to one target.
+// Load is the load that the sender sends to one target.
 type Load struct {
 	Target baobabstep.TargetID
-	// Tenths are the recent requests, times ten.
+	// Tenths is the number of recent requests times ten.
 	Tenths uint32
-	// Unanswered is the number of flows in a row that the target left
-	// without an answer, Opens that of those whose first segment was.
+	// Unanswered is the number of consecutive flows that the target left without an
+	// answer, and Opens the number of those whose first segment was unanswered.
 	Unanswered, Opens uint8
-	// HeardMS is how long ago the target was heard of, in milliseconds; said
-	// only of targets of which another VM says that they are silent, otherwise
-	// 0.
+	// HeardMS is the time in milliseconds since the sender received anything from the
+	// target. It is set only for targets that another VM reports as silent.
 	HeardMS uint16
-	// AnswerTenths are the recent requests whose outcome was seen, FailedTenths
-	// those that failed, both times ten, and TookMS is the mean time of the
-	// others in milliseconds; said only of targets that stand out.
+	// AnswerTenths is the number of recent requests with a known outcome, and FailedTenths
+	// the number of those that failed, both times ten. TookMS is the mean response time of
+	// the others in milliseconds. They are set only for targets that differ from the
+	// others.
 	AnswerTenths, FailedTenths uint16
 	TookMS                     uint16
-	// Callers is the set of callers that failed, as a set of package answer.
+	// Callers are the callers whose requests failed, as an answer.Callers.
 	Callers uint16
-	// LeftMS is how long ago the last of the unanswered flows was found so.
+	// LeftMS is the time in milliseconds since the last of the unanswered flows was found
+	// to be unanswered.
 	LeftMS uint16
-	// Vanished is the number of flows in a row that the target seems to have
-	// refused.
+	// Vanished is the number of consecutive flows that the target seems to have refused.
 	Vanished uint8
 }
 
-// Loads are loads by target, in the order of their identifiers.
+// Loads are loads sorted by target.
 type Loads []Load
 
-// Want asks for what the receiver holds of one kind.
+// Want is a request for the receiver's content of one kind.
 type Want struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
-	// Newer and Era are the version that the sender holds already, as in Held.
+	// Newer and Era are the version that the sender holds, as in Held.
 	Newer uint64 `cbor:"2,keyasint,omitempty"`
 	Era   uint64 `cbor:"3,keyasint,omitempty"`
-	// Sum is the checksum of the content that the sender holds, to request a change to
-	// it. 0 requests the whole.
+	// Sum is the checksum of the content that the sender holds, to request a change to it.
+	// 0 requests the complete content.
 	Sum uint64 `cbor:"4,keyasint,omitempty"`
-	// Digests are the bucket digests of the sender's registrations. If set, sections of
-	// the buckets that differ are requested.
+	// Digests are the bucket digests of the sender's registrations. If set, they request
+	// sections of the buckets that differ.
 	Digests []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// MakeWant asks for what is newer than a revision.
+// MakeWant returns a request for content that is newer than a revision.
 func MakeWant(kind Kind, held baobabstep.Revision) *Want {
 	return &Want{Kind: kind, Newer: held.Number, Era: held.Era}
 }
 
-// Revision returns what the sender holds already.
+// Revision returns the revision that the sender holds.
 func (w *Want) Revision() baobabstep.Revision {
 	return baobabstep.Revision{Era: w.Era, Number: w.Newer}
 }
 
-// Piece is one part of what a VM holds.
+// Piece is one chunk of the encoded content of a kind.
 type Piece struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
 	Held Held `cbor:"2,keyasint"`
-	// Check is the checksum of the bytes of all pieces.
+	// Check is the checksum of the complete content.
 	Check uint64 `cbor:"3,keyasint"`
 	Index uint16 `cbor:"4,keyasint,omitempty"`
 	Count uint16 `cbor:"5,keyasint"`
 	Data  []byte `cbor:"6,keyasint"`
 }
 
-// Change is what turns one content into the next, in a small part of the bytes of
-// the whole. While a service is released there are several in a second; the whole,
-// sent to every VM each time, fills a small link and callers' segments are lost
-// behind it.
+// Change is the difference between two versions of a content, which is much smaller than
+// the content. During the release of a service there are several changes per second. If
+// the complete content were sent to every VM each time, it would saturate small links, and
+// segments of callers would be lost.
 type Change struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
-	// From is the checksum of the content that it applies to, To what the
-	// result has to be.
+	// From is the checksum of the content that the change applies to, and To describes the
+	// result.
 	From uint64 `cbor:"2,keyasint"`
 	To   Held   `cbor:"3,keyasint"`
-	// Idle is the idle timeout of a routing table.
+	// Idle is the idle timeout of the new routing table.
 	Idle time.Duration `cbor:"4,keyasint,omitempty"`
-	// RemovedRules and Rules, or RemovedTargets and Targets, are what goes
-	// and what comes or is replaced.
+	// RemovedRules and RemovedTargets are removed; Rules and Targets are added or
+	// replaced.
 	RemovedRules   []string              `cbor:"5,keyasint,omitempty"`
 	Rules          []ruleBody            `cbor:"6,keyasint,omitempty"`
 	RemovedTargets []baobabstep.TargetID `cbor:"7,keyasint,omitempty"`
 	Targets        []targetBody          `cbor:"8,keyasint,omitempty"`
-	// ColdLimits are all of a routing table, if ColdChanged is set.
-	ColdChanged bool       `cbor:"9,keyasint,omitempty"`
-	ColdLimits  []coldBody `cbor:"10,keyasint,omitempty"`
+	// ColdLimits are all those of the new routing table. They are set only if ColdChanged
+	// is set.
+	ColdChanged bool            `cbor:"9,keyasint,omitempty"`
+	ColdLimits  []coldLimitBody `cbor:"10,keyasint,omitempty"`
 	// Origin is the root of the relay tree: the VM that first sent the change within the
 	// data centre. If unset, receivers do not relay the change.
 	Origin netip.AddrPort `cbor:"11,keyasint,omitzero"`
@@ -249,7 +250,7 @@
 	return v
 }
 
-// Encode returns the bytes of a message. Errors: CodeTooLarge.
+// Encode encodes a message. Errors: CodeTooLarge.
 func Encode(m *Message) ([]byte, error) {
 	b, err := marshal(m)
 	if err != nil {
@@ -271,8 +272,8 @@
 	return b, nil
 }
 
-// Decode returns the message in b. Errors: CodeMalformed; CodeForeignVersion for
-// a message of a later version whose part this program does not know.
+// Decode decodes a message. Errors: CodeMalformed; CodeForeignVersion for a message of a
+// later version with a part that this program does not know.
 func Decode(b []byte) (*Message, error) { return unmarshal(decMode, b) }
 
 func unmarshal(mode cbor.DecMode, b []byte) (*Message, error) {
@@ -281,7 +282,7 @@
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.decode", "%w", err)
 	}
 	if m.Version > formatVersion && m == (Message{Version: m.Version}) {
-		return nil, baobabstep.Errorf(baobabstep.CodeForeignVersion, "heartbeat.decode", "got a part of version %d, want one known in version %d", m.Version, formatVersion)
+		return nil, baobabstep.Errorf(baobabstep.CodeForeignVersion, "heartbeat.decode", "got an unknown part of version %d, want a part known in version %d", m.Version, formatVersion)
 	}
 	if !m.valid() {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.decode", "got values out of range")
@@ -305,25 +306,25 @@
 	}
 	if p := m.Piece; p != nil {
 		parts++
-		if p.Kind >= pieceKinds || p.Count == 0 || p.Index >= p.Count || p.Count > maxPieces {
+		if p.Kind >= chunkedKinds || p.Count == 0 || p.Index >= p.Count || p.Count > maxChunks {
 			return false
 		}
 	}
 	if c := m.Change; c != nil {
 		parts++
-		if c.Kind >= pieceKinds || c.To.Version == 0 {
+		if c.Kind >= chunkedKinds || c.To.Version == 0 {
 			return false
 		}
 	}
 	if a := m.Alarm; a != nil {
 		parts++
-		if a.From == 0 || len(a.Loads) > maxAlarmed {
+		if a.From == 0 || len(a.Loads) > maxAlarmLoads {
 			return false
 		}
 	}
 	if e := m.Evacuations; e != nil {
 		parts++
-		if e.Held.Version == 0 || len(e.DataCentres) > maxEvacuated {
+		if e.Held.Version == 0 || len(e.DataCentres) > maxEvacuatedDataCentres {
 			return false
 		}
 	}
@@ -342,5 +343,5 @@
 	return parts == 1 && m.Version > 0
 }
 
-// maxAge is the greatest AgeMS.
-const maxAge = 1<<32 - 1
+// maxAgeMS is the largest AgeMS.
+const maxAgeMS = 1<<32 - 1
--- a/core/heartbeat/registrations.go
+++ b/core/heartbeat/registrations.go
@@ -7,61 +7,62 @@
 	"baobabstep"
 )
 
-// Registrations are all that are registered, with a checksum that is kept in
-// step: the sum of the checksums of each. A change so costs what it changes, not
-// what there is: several registrations of thousands change in a second.
+// Registrations is the list of all registered targets. Its checksum, the sum of the
+// checksums of all registrations, is updated incrementally. So a change takes time in
+// proportion to its own size, not that of the list, of which several entries of thousands
+// change in a second.
 //
-// They are divided into buckets with checksums of their own, so that two VMs can tell
-// which of their buckets differ.
+// The registrations are divided into buckets with separate checksums, so that two VMs can
+// tell which of their buckets differ.
 type Registrations struct {
-	buckets [NumBuckets]bucket
-	sum     uint64
-	count   int
+	buckets  [NumBuckets]bucket
+	checksum uint64
+	count    int
 }
 
 // bucket holds the registrations whose target hashes have the same upper bucketBits bits.
 type bucket struct {
-	list map[baobabstep.TargetID]summed
-	sum  uint64
+	registrations map[baobabstep.TargetID]checksummed
+	checksum      uint64
 }
 
-// summed is a registration with its checksum.
-type summed struct {
+// checksummed is a registration with its checksum.
+type checksummed struct {
 	baobabstep.Registration
-	sum uint64
+	checksum uint64
 }
 
-// noRegistrations is the checksum of an empty list. It is not 0, which stands
-// for nothing held.
-const noRegistrations = 0x9e3779b97f4a7c15
+// emptyChecksum is the checksum of an empty list. It differs from 0, which means that no
+// content is held.
+const emptyChecksum = 0x9e3779b97f4a7c15
 
 // NoRegistrations returns an empty list.
 func NoRegistrations() *Registrations {
-	return &Registrations{sum: noRegistrations}
+	return &Registrations{checksum: emptyChecksum}
 }
 
-// NewRegistrations returns the registrations of a list in any order; of two with
-// one identifier the later. Errors: CodeInternal.
+// NewRegistrations returns the registrations of a list in any order. Of two with the same
+// identifier, the later one is used. Errors: CodeInternal.
 func NewRegistrations(list []baobabstep.Registration) (*Registrations, error) {
 	r := NoRegistrations()
 	return r, r.Apply(Difference{Put: list})
 }
 
 // Sum returns the checksum.
-func (r *Registrations) Sum() uint64 { return r.sum }
+func (r *Registrations) Sum() uint64 { return r.checksum }
 
-// Len returns how many are registered.
+// Len returns the number of registrations.
 func (r *Registrations) Len() int { return r.count }
 
-func (r *Registrations) find(id baobabstep.TargetID) (s summed, ok bool) {
-	s, ok = r.buckets[bucketOf(id)].list[id]
+func (r *Registrations) find(id baobabstep.TargetID) (s checksummed, ok bool) {
+	s, ok = r.buckets[bucketOf(id)].registrations[id]
 	return s, ok
 }
 
 // all iterates over all registrations in any order.
-func (r *Registrations) all(yield func(baobabstep.TargetID, summed) bool) {
+func (r *Registrations) all(yield func(baobabstep.TargetID, checksummed) bool) {
 	for i := range r.buckets {
-		for id, s := range r.buckets[i].list {
+		for id, s := range r.buckets[i].registrations {
 			if !yield(id, s) {
 				return
 			}
@@ -69,13 +70,13 @@
 	}
 }
 
-// Get returns a registration; false if there is none.
+// Get returns a registration, and false if there is none.
 func (r *Registrations) Get(id baobabstep.TargetID) (baobabstep.Registration, bool) {
 	s, ok := r.find(id)
 	return s.Registration, ok
 }
 
-// List returns all, sorted by SortTargets.
+// List returns all registrations, sorted by SortTargets.
 func (r *Registrations) List() []baobabstep.Registration {
 	list := make([]baobabstep.Registration, 0, r.count)
 	for _, s := range r.all {
@@ -85,13 +86,14 @@
 	return list
 }
 
-// Difference is what turns registrations into others. No target is in it twice.
+// Difference is a change of registrations: Put are added or replaced, Gone are removed. No
+// target occurs in it twice.
 type Difference struct {
 	Put  []baobabstep.Registration
 	Gone []baobabstep.TargetID
 }
 
-// Empty tells whether nothing differs.
+// Empty reports whether nothing changes.
 func (d *Difference) Empty() bool { return len(d.Put)+len(d.Gone) == 0 }
 
 // Merge appends a later difference to d. For a target that is in both, the later one
@@ -113,7 +115,7 @@
 	d.Put, d.Gone = append(d.Put, later.Put...), append(d.Gone, later.Gone...)
 }
 
-// To returns what turns r into others.
+// To returns the difference that changes r into others.
 func (r *Registrations) To(others *Registrations) Difference {
 	var d Difference
 	for id, s := range others.all {
@@ -131,27 +133,28 @@
 	return d
 }
 
-// SumAfter returns the checksum that Apply would give. Errors: CodeInternal.
+// SumAfter returns the checksum that results from applying a difference, without applying
+// it. Errors: CodeInternal.
 func (r *Registrations) SumAfter(d Difference) (uint64, error) {
-	put, err := sumAll(d.Put)
+	put, err := withChecksums(d.Put)
 	if err != nil {
 		return 0, err
 	}
-	sum := r.sum
+	sum := r.checksum
 	for _, s := range put {
 		old, _ := r.find(s.ID)
-		sum += s.sum - old.sum
+		sum += s.checksum - old.checksum
 	}
 	for _, id := range d.Gone {
 		old, _ := r.find(id)
-		sum -= old.sum
+		sum -= old.checksum
 	}
 	return sum, nil
 }
 
-// Apply makes what a difference says. Errors, which change nothing: CodeInternal.
+// Apply applies a difference. On an error, nothing is changed. Errors: CodeInternal.
 func (r *Registrations) Apply(d Difference) error {
-	put, err := sumAll(d.Put)
+	put, err := withChecksums(d.Put)
 	if err != nil {
 		return err
 	}
@@ -164,43 +167,43 @@
 	return nil
 }
 
-func (r *Registrations) put(s summed) {
+func (r *Registrations) put(s checksummed) {
 	r.remove(s.ID)
 	p := &r.buckets[bucketOf(s.ID)]
-	if p.list == nil {
-		p.list = make(map[baobabstep.TargetID]summed)
+	if p.registrations == nil {
+		p.registrations = make(map[baobabstep.TargetID]checksummed)
 	}
-	p.list[s.ID] = s
-	p.sum += s.sum
-	r.sum += s.sum
+	p.registrations[s.ID] = s
+	p.checksum += s.checksum
+	r.checksum += s.checksum
 	r.count++
 }
 
 func (r *Registrations) remove(id baobabstep.TargetID) {
 	p := &r.buckets[bucketOf(id)]
-	old, there := p.list[id]
+	old, there := p.registrations[id]
 	if !there {
 		return
 	}
-	delete(p.list, id)
-	p.sum -= old.sum
-	r.sum -= old.sum
+	delete(p.registrations, id)
+	p.checksum -= old.checksum
+	r.checksum -= old.checksum
 	r.count--
 }
 
-func sumAll(list []baobabstep.Registration) ([]summed, error) {
-	all := make([]summed, len(list))
+func withChecksums(list []baobabstep.Registration) ([]checksummed, error) {
+	all := make([]checksummed, len(list))
 	for i := range list {
 		b, err := encMode.Marshal(makeTarget(&list[i]))
 		if err != nil {
 			return nil, baobabstep.Errorf(baobabstep.CodeInternal, "heartbeat.sum", "%w", err)
 		}
-		all[i] = summed{list[i], Sum(b)}
+		all[i] = checksummed{list[i], Sum(b)}
 	}
 	return all, nil
 }
 
-// SortTargets puts registrations into the order in which they travel.
+// SortTargets sorts registrations by identifier, the order in which they are encoded.
 func SortTargets(list []baobabstep.Registration) {
 	slices.SortFunc(list, func(x, y baobabstep.Registration) int { return cmp.Compare(x.ID, y.ID) })
 }
--- a/core/heartbeat/part.go
+++ b/core/heartbeat/section.go
@@ -51,7 +51,7 @@
 func (r *Registrations) Digests() []byte {
 	b := make([]byte, 0, NumBuckets*digestBytes)
 	for i := range r.buckets {
-		b = binary.BigEndian.AppendUint32(b, digest(r.buckets[i].sum))
+		b = binary.BigEndian.AppendUint32(b, digest(r.buckets[i].checksum))
 	}
 	return b
 }
@@ -65,7 +65,7 @@
 	size := 0
 	for i := range NumBuckets {
 		bucket := (firstBucket + i) % NumBuckets
-		if len(digests) == NumBuckets*digestBytes && binary.BigEndian.Uint32(digests[bucket*digestBytes:]) == digest(r.buckets[bucket].sum) {
+		if len(digests) == NumBuckets*digestBytes && binary.BigEndian.Uint32(digests[bucket*digestBytes:]) == digest(r.buckets[bucket].checksum) {
 			continue
 		}
 		for _, s := range r.sectionsOf(bucket) {
@@ -88,8 +88,8 @@
 
 // sectionsOf returns the sections of one bucket, at least one.
 func (r *Registrations) sectionsOf(bucket int) (list []*Section) {
-	all := make([]*baobabstep.Registration, 0, len(r.buckets[bucket].list))
-	for _, s := range r.buckets[bucket].list {
+	all := make([]*baobabstep.Registration, 0, len(r.buckets[bucket].registrations))
+	for _, s := range r.buckets[bucket].registrations {
 		all = append(all, &s.Registration)
 	}
 	slices.SortFunc(all, func(a, b *baobabstep.Registration) int { return cmp.Compare(targetHash(a.ID), targetHash(b.ID)) })
@@ -169,7 +169,7 @@
 			d.Put = append(d.Put, r)
 		}
 	}
-	for id := range from.buckets[s.First>>(64-bucketBits)].list {
+	for id := range from.buckets[s.First>>(64-bucketBits)].registrations {
 		if h := targetHash(id); h >= s.First && h <= s.Last && !listed[id] {
 			d.Gone = append(d.Gone, id)
 		}
--- a/core/heartbeat/transfer.go
+++ b/core/heartbeat/transfer.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// pieceBytes is the data of one piece; with what surrounds it a piece
-	// stays below MaxMessage.
-	pieceBytes = 1100
-	// maxPieces bounds what is put together: 1 MB, the size of the largest
-	// value in the store.
-	maxPieces = 1000
-	// pieceTimeout is how long an unfinished whole waits for its pieces.
-	pieceTimeout = time.Second
+	// chunkBytes is the payload size of a chunk. With its encoding overhead, a chunk stays
+	// below MaxMessage.
+	chunkBytes = 1100
+	// maxChunks limits the reassembled content to 1 MB, the size of the largest value in
+	// the store.
+	maxChunks = 1000
+	// chunkTimeout is how long incomplete content waits for its chunks.
+	chunkTimeout = time.Second
 )
 
-// routesBody is a routing table as it travels; registrations travel as a list of
-// targetBody.
+// routesBody is the encoded form of a routing table. Registrations are encoded as a list
+// of targetBody.
 type routesBody struct {
-	Version     uint64        `cbor:"1,keyasint"`
-	IdleTimeout time.Duration `cbor:"2,keyasint,omitempty"`
-	Rules       []ruleBody    `cbor:"3,keyasint,omitempty"`
-	ColdLimits  []coldBody    `cbor:"4,keyasint,omitempty"`
+	Version     uint64          `cbor:"1,keyasint"`
+	IdleTimeout time.Duration   `cbor:"2,keyasint,omitempty"`
+	Rules       []ruleBody      `cbor:"3,keyasint,omitempty"`
+	ColdLimits  []coldLimitBody `cbor:"4,keyasint,omitempty"`
 }
 
-// maxColdPerSecond bounds what is believed of a limit.
+// maxColdPerSecond is the largest limit that is accepted, in requests per second.
 const maxColdPerSecond = 1e6
 
-// coldBody is a baobabstep.ColdLimit.
-type coldBody struct {
+// coldLimitBody is the encoded form of a baobabstep.ColdLimit.
+type coldLimitBody struct {
 	Service   string        `cbor:"1,keyasint"`
 	PerSecond float64       `cbor:"2,keyasint"`
 	Lasts     time.Duration `cbor:"3,keyasint"`
 }
 
-func makeColdLimits(limits []baobabstep.ColdLimit) (bodies []coldBody) {
+func makeColdLimits(limits []baobabstep.ColdLimit) (bodies []coldLimitBody) {
 	for _, l := range limits {
-		bodies = append(bodies, coldBody(l))
+		bodies = append(bodies, coldLimitBody(l))
 	}
 	return bodies
 }
 
-// coldLimits returns the limits in bodies. Errors: CodeMalformed.
-func coldLimits(bodies []coldBody) (limits []baobabstep.ColdLimit, err error) {
+// coldLimits decodes limits. Errors: CodeMalformed.
+func coldLimits(bodies []coldLimitBody) (limits []baobabstep.ColdLimit, err error) {
 	for _, b := range bodies {
 		if !(b.PerSecond > 0 && b.PerSecond <= maxColdPerSecond) || b.Lasts <= 0 {
-			return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.routes", "service %q: got %v requests a second for %v, want up to %v and a time above 0", b.Service, b.PerSecond, b.Lasts, float64(maxColdPerSecond))
+			return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.routes", "service %q: got %v requests a second for %v, want a rate above 0 and up to %v, and a duration above 0", b.Service, b.PerSecond, b.Lasts, float64(maxColdPerSecond))
 		}
 		limits = append(limits, baobabstep.ColdLimit(b))
 	}
@@ -100,7 +100,7 @@
 
 func (b *ruleBody) rule() (baobabstep.Rule, error) {
 	if len(b.Shares) == 0 || !b.Address.IsValid() {
-		return baobabstep.Rule{}, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.routes", "rule %q: got address %v and %d shares", b.Name, b.Address, len(b.Shares))
+		return baobabstep.Rule{}, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.routes", "rule %q: got address %v and %d shares, want a valid address and at least one share", b.Name, b.Address, len(b.Shares))
 	}
 	shares := make([]baobabstep.Share, len(b.Shares))
 	for i, s := range b.Shares {
@@ -112,21 +112,21 @@
 	}, nil
 }
 
-// SortTable puts what a table lists into the order in which all VMs hold it.
+// SortTable sorts the lists of a routing table into the order that all VMs use.
 func SortTable(t *baobabstep.RoutingTable) {
 	SortRules(t.Rules)
 	slices.SortFunc(t.ColdLimits, func(a, b baobabstep.ColdLimit) int { return cmp.Compare(a.Service, b.Service) })
 }
 
-// SortRules puts rules into the order in which all VMs hold them.
+// SortRules sorts rules into the order that all VMs use.
 func SortRules(rules []baobabstep.Rule) {
 	slices.SortFunc(rules, func(a, b baobabstep.Rule) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), a.Address.Compare(b.Address))
 	})
 }
 
-// EncodeRoutes returns the content of a routing table, which has to be sorted by
-// SortTable, so that equal ones have equal checksums.
+// EncodeRoutes encodes a routing table, which must be sorted by SortTable, so that equal
+// tables have equal checksums.
 func EncodeRoutes(t *baobabstep.RoutingTable) ([]byte, error) {
 	body := routesBody{Version: t.Version, IdleTimeout: t.IdleTimeout, Rules: make([]ruleBody, len(t.Rules)), ColdLimits: makeColdLimits(t.ColdLimits)}
 	for i := range t.Rules {
@@ -135,10 +135,10 @@
 	return encMode.Marshal(&body)
 }
 
-// DecodeRoutes returns the routing table in b. Errors: CodeMalformed.
+// DecodeRoutes decodes a routing table. Errors: CodeMalformed.
 func DecodeRoutes(b []byte) (*baobabstep.RoutingTable, error) {
 	var body routesBody
-	if err := bodyMode.Unmarshal(b, &body); err != nil {
+	if err := largeDecMode.Unmarshal(b, &body); err != nil {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.routes", "%w", err)
 	}
 	t := &baobabstep.RoutingTable{Version: body.Version, IdleTimeout: body.IdleTimeout, Rules: make([]baobabstep.Rule, len(body.Rules))}
@@ -162,7 +162,7 @@
 
 func (b *targetBody) registration() (baobabstep.Registration, error) {
 	if b.ID == 0 || !b.Address.IsValid() || b.Slots < 1 {
-		return baobabstep.Registration{}, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.targets", "got target %x at %v with %d slots", uint64(b.ID), b.Address, b.Slots)
+		return baobabstep.Registration{}, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.targets", "got target %x at %v with %d slots, want an identifier, a valid address and at least one slot", uint64(b.ID), b.Address, b.Slots)
 	}
 	return baobabstep.Registration{
 		ID: b.ID, Service: b.Service, Address: b.Address, DataCentre: b.DataCentre,
@@ -170,7 +170,7 @@
 	}, nil
 }
 
-// EncodeTargets returns the content of registrations.
+// EncodeTargets encodes registrations.
 func EncodeTargets(list []baobabstep.Registration) ([]byte, error) {
 	body := make([]targetBody, len(list))
 	for i := range list {
@@ -179,10 +179,10 @@
 	return encMode.Marshal(body)
 }
 
-// DecodeTargets returns the registrations in b. Errors: CodeMalformed.
+// DecodeTargets decodes registrations. Errors: CodeMalformed.
 func DecodeTargets(b []byte) ([]baobabstep.Registration, error) {
 	var body []targetBody
-	if err := bodyMode.Unmarshal(b, &body); err != nil {
+	if err := largeDecMode.Unmarshal(b, &body); err != nil {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.targets", "%w", err)
 	}
 	list := make([]baobabstep.Registration, len(body))
@@ -195,25 +195,25 @@
 	return list, nil
 }
 
-// bodyMode allows the larger arrays of whole contents.
-var bodyMode = must(cbor.DecOptions{
+// largeDecMode allows the larger arrays of complete contents.
+var largeDecMode = must(cbor.DecOptions{
 	IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 	MaxNestedLevels: 8, MaxArrayElements: 131072,
 }.DecMode())
 
-// Sum returns the checksum of a content.
+// Sum returns the checksum of encoded content.
 func Sum(content []byte) uint64 { return xxhash.Sum64(content) }
 
-// Split returns the pieces of a content. Errors: CodeTooLarge.
+// Split divides encoded content into chunks. Errors: CodeTooLarge.
 func Split(kind Kind, held Held, content []byte) ([]*Message, error) {
-	count := max(1, (len(content)+pieceBytes-1)/pieceBytes)
-	if count > maxPieces {
-		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "heartbeat.split", "got %d bytes, want at most %d", len(content), maxPieces*pieceBytes)
+	count := max(1, (len(content)+chunkBytes-1)/chunkBytes)
+	if count > maxChunks {
+		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "heartbeat.split", "got %d bytes, want at most %d", len(content), maxChunks*chunkBytes)
 	}
 	check := Sum(content)
 	messages := make([]*Message, 0, count)
 	for i := range count {
-		part := content[min(i*pieceBytes, len(content)):min((i+1)*pieceBytes, len(content))]
+		part := content[min(i*chunkBytes, len(content)):min((i+1)*chunkBytes, len(content))]
 		messages = append(messages, &Message{Piece: &Piece{
 			Kind: kind, Held: held, Check: check, Index: uint16(i), Count: uint16(count), Data: part,
 		}})
@@ -221,41 +221,41 @@
 	return messages, nil
 }
 
-// Assembly puts the pieces of one kind together. The zero value is ready.
+// Assembly reassembles the chunks of one kind of content. The zero value is ready to use.
 type Assembly struct {
-	held   Held
-	since  time.Time
-	pieces [][]byte
-	left   int
+	held      Held
+	startedAt time.Time
+	chunks    [][]byte
+	left      int
 }
 
-// Add takes in a piece and returns the content once it is whole. Pieces of
-// another version replace an unfinished whole only if they are newer, or if it
-// has waited too long.
-func (a *Assembly) Add(now time.Time, p *Piece) (content []byte, held Held, whole bool) {
-	if !a.sameAs(p) {
-		if a.left > 0 && !a.held.Revision().Before(p.Held.Revision()) && now.Sub(a.since) < pieceTimeout {
+// Add adds a chunk. Once all chunks have arrived and the checksum matches, it returns true
+// and the content. Chunks of another version replace incomplete content only if they are
+// newer, or if that content has timed out.
+func (a *Assembly) Add(now time.Time, p *Piece) (content []byte, held Held, complete bool) {
+	if !a.belongs(p) {
+		if a.left > 0 && !a.held.Revision().Before(p.Held.Revision()) && now.Sub(a.startedAt) < chunkTimeout {
 			return nil, Held{}, false
 		}
-		*a = Assembly{held: p.Held, since: now, pieces: make([][]byte, p.Count), left: int(p.Count)}
+		*a = Assembly{held: p.Held, startedAt: now, chunks: make([][]byte, p.Count), left: int(p.Count)}
 	}
-	if a.pieces[p.Index] != nil {
+	if a.chunks[p.Index] != nil {
 		return nil, Held{}, false
 	}
-	a.pieces[p.Index] = append([]byte{}, p.Data...)
+	a.chunks[p.Index] = append([]byte{}, p.Data...)
 	a.left--
 	if a.left > 0 {
 		return nil, Held{}, false
 	}
-	for _, piece := range a.pieces {
-		content = append(content, piece...)
+	for _, chunk := range a.chunks {
+		content = append(content, chunk...)
 	}
 	held = a.held
 	*a = Assembly{}
 	return content, held, Sum(content) == p.Check
 }
 
-// sameAs tells whether a piece belongs to the unfinished whole.
-func (a *Assembly) sameAs(p *Piece) bool {
-	return a.left > 0 && a.held.Revision() == p.Held.Revision() && a.held.Sum == p.Held.Sum && len(a.pieces) == int(p.Count)
+// belongs reports whether a chunk is part of the incomplete content.
+func (a *Assembly) belongs(p *Piece) bool {
+	return a.left > 0 && a.held.Revision() == p.Held.Revision() && a.held.Sum == p.Held.Sum && len(a.chunks) == int(p.Count)
 }
--- a/core/heartbeat/transfer_test.go
+++ b/core/heartbeat/transfer_test.go
@@ -12,7 +12,7 @@
 	"baobabstep"
 )
 
-func bigTable(version uint64) *baobabstep.RoutingTable {
+func largeTable(version uint64) *baobabstep.RoutingTable {
 	t := &baobabstep.RoutingTable{Version: version, IdleTimeout: 15 * time.Second}
 	for i := range 350 {
 		t.Rules = append(t.Rules, baobabstep.Rule{
@@ -23,9 +23,9 @@
 	return t
 }
 
-func pieces(t testing.TB, version uint64) []*Message {
+func chunksOf(t testing.TB, version uint64) []*Message {
 	t.Helper()
-	content, err := EncodeRoutes(bigTable(version))
+	content, err := EncodeRoutes(largeTable(version))
 	qt.Assert(t, err, qt.IsNil)
 	list, err := Split(Routes, MakeHeld(revisionOf(version), Sum(content), 0), content)
 	qt.Assert(t, err, qt.IsNil)
@@ -37,37 +37,37 @@
 	return list
 }
 
-func TestRoutesTravelInPieces(t *testing.T) {
-	list := pieces(t, 7)
-	list = append(list, list...) // datagrams may come twice
+func TestRoutesInChunks(t *testing.T) {
+	list := chunksOf(t, 7)
+	list = append(list, list...) // datagrams may be duplicated
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	var a Assembly
-	wholes := 0
+	completed := 0
 	for _, m := range list {
-		content, held, whole := a.Add(start, m.Piece)
-		if !whole {
+		content, held, complete := a.Add(start, m.Piece)
+		if !complete {
 			continue
 		}
-		wholes++
+		completed++
 		qt.Assert(t, held.Version, qt.Equals, uint64(7))
 		table, err := DecodeRoutes(content)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, table.Rules, qt.HasLen, 350)
 		qt.Assert(t, table.Rules[3].Shares[1], qt.Equals, baobabstep.Share{Service: "results", Weight: 10})
 	}
-	qt.Assert(t, wholes >= 1, qt.IsTrue)
+	qt.Assert(t, completed >= 1, qt.IsTrue)
 }
 
-// Two peers send different versions at once. Pieces of the older one must not
-// end up in the newer one, nor keep it from becoming whole.
-func TestPiecesOfTwoVersions(t *testing.T) {
-	older, newer := pieces(t, 7), pieces(t, 8)
+// Guards against chunks of an older version that are mixed into a newer one, or that
+// prevent its completion, when two peers send different versions at the same time.
+func TestChunksOfTwoVersions(t *testing.T) {
+	older, newer := chunksOf(t, 7), chunksOf(t, 8)
 	var a Assembly
 	for i := range older {
 		a.Add(start, older[i].Piece)
-		content, held, whole := a.Add(start, newer[i].Piece)
-		qt.Assert(t, whole, qt.Equals, i == len(older)-1)
-		if whole {
+		content, held, complete := a.Add(start, newer[i].Piece)
+		qt.Assert(t, complete, qt.Equals, i == len(older)-1)
+		if complete {
 			qt.Assert(t, held.Version, qt.Equals, uint64(8))
 			_, err := DecodeRoutes(content)
 			qt.Assert(t, err, qt.IsNil)
@@ -75,42 +75,42 @@
 	}
 }
 
-// Guards against pieces of a restored store that wait behind those of the era before.
-func TestPiecesOfALaterEra(t *testing.T) {
+// Guards against chunks of a restored store that wait for those of the previous era.
+func TestChunksOfALaterEra(t *testing.T) {
 	var a Assembly
-	a.Add(start, pieces(t, 9)[0].Piece)
-	whole := false
-	for _, m := range pieces(t, 8) {
+	a.Add(start, chunksOf(t, 9)[0].Piece)
+	complete := false
+	for _, m := range chunksOf(t, 8) {
 		m.Piece.Held.Era = 1
-		_, _, whole = a.Add(start, m.Piece)
+		_, _, complete = a.Add(start, m.Piece)
 	}
-	qt.Assert(t, whole, qt.IsTrue)
+	qt.Assert(t, complete, qt.IsTrue)
 }
 
-// A piece was lost. The whole that waits for it must not block what comes later,
-// not even an older version from a peer that is still there.
-func TestLostPieceBlocksNothing(t *testing.T) {
+// Guards against a lost chunk that blocks later content, even of an older version from
+// another peer.
+func TestLostChunkDoesNotBlock(t *testing.T) {
 	var a Assembly
-	a.Add(start, pieces(t, 9)[0].Piece)
-	later := start.Add(pieceTimeout)
-	whole := false
-	for _, m := range pieces(t, 8) {
-		_, _, whole = a.Add(later, m.Piece)
+	a.Add(start, chunksOf(t, 9)[0].Piece)
+	later := start.Add(chunkTimeout)
+	complete := false
+	for _, m := range chunksOf(t, 8) {
+		_, _, complete = a.Add(later, m.Piece)
 	}
-	qt.Assert(t, whole, qt.IsTrue)
+	qt.Assert(t, complete, qt.IsTrue)
 }
 
-func TestDamagedPieceIsNotUsed(t *testing.T) {
-	list := pieces(t, 7)
+func TestDamagedChunk(t *testing.T) {
+	list := chunksOf(t, 7)
 	list[2].Piece.Data = append([]byte{0xff}, list[2].Piece.Data[1:]...)
 	var a Assembly
 	for _, m := range list {
-		_, _, whole := a.Add(start, m.Piece)
-		qt.Assert(t, whole, qt.IsFalse)
+		_, _, complete := a.Add(start, m.Piece)
+		qt.Assert(t, complete, qt.IsFalse)
 	}
 }
 
-func TestTargetsTravel(t *testing.T) {
+func TestTargetsRoundTrip(t *testing.T) {
 	want := []baobabstep.Registration{
 		{ID: 3, Service: "fixtures", Address: address(3), DataCentre: "a", Release: "v1", Slots: 2, Draining: true, ColdFor: time.Second},
 		{ID: 4, Service: "results", Address: address(4), DataCentre: "b", Slots: 1},
@@ -122,19 +122,19 @@
 	qt.Assert(t, fmt.Sprint(got), qt.Equals, fmt.Sprint(want))
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeInvalid(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		m    Message
 	}{
 		{"nothing", Message{}},
-		{"two parts", Message{Heartbeat: beat(1, 1, 1), Want: &Want{}}},
+		{"two parts", Message{Heartbeat: newHeartbeat(1, 1, 1), Want: &Want{}}},
 		{"no sender", Message{Heartbeat: &Heartbeat{DataCentre: "a"}}},
 		{"no data centre", Message{Heartbeat: &Heartbeat{From: 1}}},
-		{"unknown kind wanted", Message{Want: &Want{Kind: Kinds}}},
-		{"piece past the end", Message{Piece: &Piece{Index: 2, Count: 2}}},
-		{"no pieces", Message{Piece: &Piece{}}},
-		{"absurd count", Message{Piece: &Piece{Count: maxPieces + 1}}},
+		{"unknown kind requested", Message{Want: &Want{Kind: Kinds}}},
+		{"chunk index out of range", Message{Piece: &Piece{Index: 2, Count: 2}}},
+		{"no chunks", Message{Piece: &Piece{}}},
+		{"too many chunks", Message{Piece: &Piece{Count: maxChunks + 1}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			raw, err := encMode.Marshal(&test.m)
@@ -150,7 +150,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	raw, err := Encode(&Message{Heartbeat: beat(1, 1, 1)})
+	raw, err := Encode(&Message{Heartbeat: newHeartbeat(1, 1, 1)})
 	qt.Assert(f, err, qt.IsNil)
 	f.Add(raw)
 	f.Fuzz(func(_ *testing.T, raw []byte) {
--- a/core/heartbeat/version_test.go
+++ b/core/heartbeat/version_test.go
@@ -15,7 +15,7 @@
 	"baobabstep"
 )
 
-// Messages as a program of version 1 sent them. The bytes stay as they are.
+// Encoded messages of a program of version 1. The bytes must not change.
 const (
 	recordedHeartbeat = "a2010102a80107026161031903e8040205f50782a3010902080307a0084b050f06030109281e1404040981460a000001e61f"
 	recordedWant      = "a2010103a201010205"
@@ -23,9 +23,9 @@
 	recordedChange    = "a2010105a60101020303a201090208041a3b9aca000781060881a6010502617303460a00000250000461610602090c"
 )
 
-// later is a heartbeat as a program of a later version may send it: with fields
-// that this one does not know, in the message, in its parts and in the evidence.
-func later(t testing.TB) []byte {
+// laterVersionHeartbeat returns a heartbeat of a later version, with unknown fields in the
+// message, in its parts and in the details of a load.
+func laterVersionHeartbeat(t testing.TB) []byte {
 	t.Helper()
 	loads := []byte{5, 7<<1 | 1, 10, 3, 1, 9, 40, 30, 20, 77, 78, 2, 99, 4, 2 << 1}
 	raw, err := cbor.Marshal(map[int]any{
@@ -40,11 +40,11 @@
 	return raw
 }
 
-// While a fleet is replaced, programs of two versions hear each other. One that
-// took the other's heartbeats for nonsense would count its VMs as dead: it would
-// read the store in their place, and take their data centres for lost.
-func TestLaterVersionIsHeard(t *testing.T) {
-	m, err := Decode(later(t))
+// Guards against heartbeats of a later version that are rejected during the update of a
+// fleet. A VM that rejected them would consider their senders dead, read the store in
+// their place and consider their data centres unreachable.
+func TestLaterVersionIsDecoded(t *testing.T) {
+	m, err := Decode(laterVersionHeartbeat(t))
 	qt.Assert(t, err, qt.IsNil)
 	h := m.Heartbeat
 	qt.Assert(t, h.From, qt.Equals, baobabstep.VMID(7))
@@ -64,7 +64,8 @@
 	qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeMalformed)
 }
 
-// What version 1 sends is understood for as long as programs of it may run.
+// Guards against messages of version 1 that are no longer decoded. They must be for as
+// long as programs of that version may run.
 func TestRecordedMessages(t *testing.T) {
 	for _, test := range []struct {
 		name, bytes string
@@ -72,7 +73,7 @@
 	}{
 		{"heartbeat", recordedHeartbeat, Message{Version: 1, Heartbeat: &Heartbeat{
 			From: 7, DataCentre: "a", Life: 1000, Number: 2, Leaving: true,
-			Held:  [pieceKinds]Held{{Version: 9, Sum: 8, AgeMS: 7}, {}},
+			Held:  [chunkedKinds]Held{{Version: 9, Sum: 8, AgeMS: 7}, {}},
 			Loads: Loads{{Target: 5, Tenths: 7, Unanswered: 3, Opens: 1, HeardMS: 9, AnswerTenths: 40, FailedTenths: 30, TookMS: 20}, {Target: 9, Tenths: 2}},
 			Peers: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:8166")},
 		}}},
@@ -91,7 +92,7 @@
 			qt.Assert(t, *m, qt.CmpEquals(cmp.Comparer(func(x, y netip.AddrPort) bool { return x == y })), test.want)
 			again, err := Encode(&test.want)
 			qt.Assert(t, err, qt.IsNil)
-			// All but the version is sent as it was.
+			// Only the version is encoded differently.
 			recorded := strings.Replace(test.bytes, "a20101", fmt.Sprintf("a201%02x", formatVersion), 1)
 			qt.Assert(t, hex.EncodeToString(again), qt.Equals, recorded)
 		})
--- a/core/heartbeat/view.go
+++ b/core/heartbeat/view.go
@@ -8,60 +8,62 @@
 	"baobabstep/core/quota"
 )
 
-// settleTime is how long after its start, and after it heard of another VM of its
-// data centre for the first time, a VM may not know all of them. All have their
-// turn within a second in a data centre of forty.
-const settleTime = 1500 * time.Millisecond
+// settlePeriod is how long a VM may not know all others of its data centre, after its
+// start and after it first heard another of them. In a data centre of forty VMs, all of
+// them have their turn within a second.
+const settlePeriod = 1500 * time.Millisecond
 
-// View returns the VMs of the own data centre, by which they divide what none of
-// them may do alone. It is the same value for as long as nothing changes.
+// View returns the VMs of the own data centre, among which shared quotas are divided. The
+// returned pointer changes only if the view changes.
 //
-// VMs that are not heard keep their places until they are forgotten. If a VM that
-// is cut off took those of the others over, each of several such VMs would use up
-// the whole. Two VMs know too little, and use nothing: one that hears nobody though
-// others exist may have been forgotten meanwhile, and one that has started and of
-// whose seeds some are heard by nobody may be on one side of a partition, with
-// others on the other side that know as little.
+// Silent VMs keep their shares until they are removed. If a VM in a partition took over
+// the shares of the others, several such VMs would each use the whole quota. In two cases
+// the view is not settled, and the VM uses nothing. A VM that hears nobody although others
+// exist may have been removed by them meanwhile. A VM that has just started, and has seeds
+// that no VM has heard, may be in one part of a partition, with others in the other part
+// in the same
+// situation.
 func (b *Board) View(now time.Time) *quota.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next := quota.View{Self: b.o.Self, Others: b.near(), Settled: b.knowsAll(now)}
+	next := quota.View{Self: b.options.Self, Others: b.nearVMIDs(), Settled: b.knowsAllNear(now)}
 	if b.view == nil || b.view.Settled != next.Settled || !slices.Equal(b.view.Others, next.Others) {
 		b.view = &next
 	}
 	return b.view
 }
 
-// startupTime is the time after its start in which a VM may know few of the others.
-const startupTime = 5 * time.Second
+// discoveryPeriod is the time after the start after which a VM is assumed to have
+// discovered the others.
+const discoveryPeriod = 5 * time.Second
 
-// KnowsOthers tells whether the VM can be taken to know the others well enough to find its
-// rank among them: it started a while ago, or has met the others of its data centre,
-// and none for the first time lately.
+// KnowsOthers reports whether the VM is assumed to know enough of the others to determine
+// its rank. Either it started a while ago, or it has discovered VMs, and did not hear
+// another VM of its data centre for the first time recently.
 func (b *Board) KnowsOthers(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.started) >= startupTime {
+	if now.Sub(b.started) >= discoveryPeriod {
 		return true
 	}
-	if now.Sub(b.metAt) < settleTime {
+	if now.Sub(b.lastNewNearPeer) < settlePeriod {
 		return false
 	}
-	if len(b.unseen) == 0 {
+	if len(b.unseenSeeds) == 0 {
 		return true
 	}
 	for _, p := range b.peers {
-		if b.live(now, p) {
+		if b.isLive(now, p) {
 			return true
 		}
 	}
 	return false
 }
 
-// near returns all other VMs of the own data centre that are remembered, sorted.
-func (b *Board) near() (list []baobabstep.VMID) {
+// nearVMIDs returns the identifiers of all other known VMs of the own data centre, sorted.
+func (b *Board) nearVMIDs() (list []baobabstep.VMID) {
 	for _, p := range b.peers {
-		if p.last != nil && p.last.DataCentre == b.o.DataCentre {
+		if p.last != nil && p.last.DataCentre == b.options.DataCentre {
 			list = append(list, p.last.From)
 		}
 	}
@@ -69,17 +71,17 @@
 	return slices.Compact(list)
 }
 
-// knowsAll tells whether the VM can be taken to know all others of its data centre.
-func (b *Board) knowsAll(now time.Time) bool {
-	if now.Sub(b.metAt) < settleTime || now.Sub(b.started) < b.o.Forget && len(b.unseen) > 0 {
+// knowsAllNear reports whether the VM is assumed to know all others of its data centre.
+func (b *Board) knowsAllNear(now time.Time) bool {
+	if now.Sub(b.lastNewNearPeer) < settlePeriod || now.Sub(b.started) < b.options.Forget && len(b.unseenSeeds) > 0 {
 		return false
 	}
 	alone := true
 	for _, p := range b.peers {
-		if b.live(now, p) {
+		if b.isLive(now, p) {
 			return true
 		}
-		alone = alone && p.last == nil && !slices.Contains(b.o.Seeds, p.address)
+		alone = alone && p.last == nil && !slices.Contains(b.options.Seeds, p.address)
 	}
 	return alone
 }
--- a/core/heartbeat/view_test.go
+++ b/core/heartbeat/view_test.go
@@ -15,58 +15,58 @@
 	"baobabstep/core/quota"
 )
 
-func TestViewKeepsWhoIsSilent(t *testing.T) {
+func TestViewKeepsSilentVMs(t *testing.T) {
 	b := newBoard(1, 3)
 	qt.Assert(t, b.View(start).Settled, qt.IsFalse)
-	b.Handle(start, address(3), beat(3, 1, 1))
-	b.Handle(start, address(2), beat(2, 1, 1)) // another data centre
+	b.Handle(start, address(3), newHeartbeat(3, 1, 1))
+	b.Handle(start, address(2), newHeartbeat(2, 1, 1)) // another data centre
 	others := []baobabstep.VMID{3}
 	at := func(d time.Duration) *quota.View { return b.View(start.Add(d)) }
-	qt.Assert(t, at(settleTime-1).Settled, qt.IsFalse)
+	qt.Assert(t, at(settlePeriod-1).Settled, qt.IsFalse)
 
 	t.Run("settled while others are heard", func(t *testing.T) {
-		b.Handle(start.Add(settleTime), address(3), beat(3, 1, 2))
-		qt.Assert(t, *at(settleTime), qt.DeepEquals, quota.View{Self: 1, Others: others, Settled: true})
-		qt.Assert(t, at(settleTime), qt.Equals, at(settleTime)) // the same value
+		b.Handle(start.Add(settlePeriod), address(3), newHeartbeat(3, 1, 2))
+		qt.Assert(t, *at(settlePeriod), qt.DeepEquals, quota.View{Self: 1, Others: others, Settled: true})
+		qt.Assert(t, at(settlePeriod), qt.Equals, at(settlePeriod)) // the same pointer
 	})
-	t.Run("a VM that hears nobody uses nothing, and keeps the places of others", func(t *testing.T) {
-		later := settleTime + 5*time.Second
+	t.Run("not settled while all others are silent, which keep their shares", func(t *testing.T) {
+		later := settlePeriod + 5*time.Second
 		qt.Assert(t, *at(later), qt.DeepEquals, quota.View{Self: 1, Others: others})
 	})
-	t.Run("a new VM is waited for", func(t *testing.T) {
-		later := settleTime + 6*time.Second
-		b.Handle(start.Add(later), address(5), beat(5, 1, 1))
+	t.Run("not settled after a new VM", func(t *testing.T) {
+		later := settlePeriod + 6*time.Second
+		b.Handle(start.Add(later), address(5), newHeartbeat(5, 1, 1))
 		qt.Assert(t, *at(later), qt.DeepEquals, quota.View{Self: 1, Others: []baobabstep.VMID{3, 5}})
 	})
-	t.Run("a VM that is alone by its settings has all for itself", func(t *testing.T) {
+	t.Run("settled if the only seed is the VM itself", func(t *testing.T) {
 		b := newBoard(1, 1)
-		qt.Assert(t, *b.View(start.Add(settleTime)), qt.DeepEquals, quota.View{Self: 1, Settled: true})
+		qt.Assert(t, *b.View(start.Add(settlePeriod)), qt.DeepEquals, quota.View{Self: 1, Settled: true})
 	})
 }
 
-// quotaFleet is VMs of one data centre in virtual time, all of which want to send a
-// cold target as much as they may.
+// quotaFleet simulates the VMs of one data centre, all of which send a cold target as many
+// requests as their shares allow.
 type quotaFleet struct {
-	fail   func(format string, args ...any)
-	now    time.Time
-	random *rand.Rand
-	vms    []*quotaVM
-	apart  map[[2]int]bool
-	loss   float64
-	limit  quota.Limit
-	uses   []time.Time
+	fail        func(format string, args ...any)
+	now         time.Time
+	random      *rand.Rand
+	vms         []*quotaVM
+	partitioned map[[2]int]bool
+	loss        float64
+	limit       quota.Limit
+	uses        []time.Time
 }
 
 type quotaVM struct {
 	n     int
 	board *Board
 	meter quota.Meter
-	// frozenUntil is until when it does nothing.
+	// frozenUntil is the time until which the VM is suspended.
 	frozenUntil time.Time
-	off         bool
+	stopped     bool
 }
 
-// coldRates are what targets bear while they are cold, in requests a second.
+// coldRates are limits of cold targets, in requests per second.
 var coldRates = []float64{1, 1.5, 4, 6, 10, 20}
 
 const (
@@ -79,14 +79,15 @@
 		Self: baobabstep.VMID(100 + vm.n), DataCentre: "a", Address: address(vm.n + 1), Life: uint64(f.now.UnixMilli()),
 		Seeds: []netip.AddrPort{address(1), address(2), address(3)}, Rand: rand.New(rand.NewPCG(f.random.Uint64(), 1)),
 	})
-	vm.meter, vm.off = quota.Meter{}, false
+	vm.meter, vm.stopped = quota.Meter{}, false
 }
 
-// step lets time pass: heartbeats, then as many uses as shares allow.
+// step advances the time by quotaStep. The VMs send heartbeats, then as many requests as
+// their shares allow.
 func (f *quotaFleet) step() {
 	f.now = f.now.Add(quotaStep)
 	for _, vm := range f.vms {
-		if !vm.runs(f.now) {
+		if !vm.isRunning(f.now) {
 			continue
 		}
 		if vm.board.Due(f.now) {
@@ -96,7 +97,7 @@
 		}
 	}
 	for _, vm := range f.vms {
-		if !vm.runs(f.now) {
+		if !vm.isRunning(f.now) {
 			continue
 		}
 		share := vm.board.View(f.now).Of(42, f.limit)
@@ -107,21 +108,21 @@
 	}
 	f.uses = slices.DeleteFunc(f.uses, func(at time.Time) bool { return f.now.Sub(at) >= time.Second })
 	if float64(len(f.uses)) > f.limit.Bound {
-		f.fail("the target got %d in a second, want at most %v", len(f.uses), f.limit.Bound)
+		f.fail("target got %d requests in a second, want at most %v", len(f.uses), f.limit.Bound)
 	}
 }
 
-func (vm *quotaVM) runs(now time.Time) bool { return !vm.off && !now.Before(vm.frozenUntil) }
+func (vm *quotaVM) isRunning(now time.Time) bool { return !vm.stopped && !now.Before(vm.frozenUntil) }
 
 func (f *quotaFleet) deliver(from *quotaVM, out Out) {
 	to := int(out.To.Addr().As4()[3]) - 1
-	if to >= len(f.vms) || !f.vms[to].runs(f.now) || f.apart[[2]int{from.n, to}] || f.random.Float64() < f.loss {
+	if to >= len(f.vms) || !f.vms[to].isRunning(f.now) || f.partitioned[[2]int{from.n, to}] || f.random.Float64() < f.loss {
 		return
 	}
 	f.vms[to].board.Handle(f.now, address(from.n+1), out.Message.Heartbeat)
 }
 
-func (f *quotaFleet) pass(d time.Duration) {
+func (f *quotaFleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step()
 	}
@@ -129,95 +130,96 @@
 
 func newQuotaFleet(fail func(format string, args ...any), seed uint64, rate float64) *quotaFleet {
 	f := &quotaFleet{
-		fail: fail, now: start, random: rand.New(rand.NewPCG(seed, 1)), apart: map[[2]int]bool{},
+		fail: fail, now: start, random: rand.New(rand.NewPCG(seed, 1)), partitioned: map[[2]int]bool{},
 		limit: quota.Limit{PerSecond: rate, Bound: 1.5*rate + 5},
 	}
 	for n := range quotaVMs {
-		f.vms = append(f.vms, &quotaVM{n: n, off: n >= quotaVMs-3})
-		if !f.vms[n].off {
+		f.vms = append(f.vms, &quotaVM{n: n, stopped: n >= quotaVMs-3})
+		if !f.vms[n].stopped {
 			f.start(f.vms[n])
 		}
 	}
-	f.pass(4 * time.Second)
+	f.advance(4 * time.Second)
 	return f
 }
 
-// A target comes back cold and bears a few requests a second. VMs join, are killed,
-// lose power together, freeze, and lose sight of one another meanwhile; each decides
-// alone what it sends. No second may see more than the bound.
-func TestFleetKeepsABound(t *testing.T) {
+// Guards against more requests to a cold target in a second than its limit allows, while
+// VMs join, crash, restart together, freeze or are partitioned, and each decides alone how
+// many it sends.
+func TestQuotaIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newQuotaFleet(t.Fatalf, rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom(coldRates).Draw(t, "rate"))
 		anyVM := func() *quotaVM { return f.vms[rapid.IntRange(0, quotaVMs-1).Draw(t, "vm")] }
 		t.Repeat(map[string]func(*rapid.T){
-			"pass time": func(*rapid.T) { f.pass(2 * time.Second) },
-			"a VM joins, or is killed and starts": func(*rapid.T) {
+			"pass time": func(*rapid.T) { f.advance(2 * time.Second) },
+			"a VM joins or restarts": func(*rapid.T) {
 				f.start(anyVM())
 			},
-			"a VM is gone": func(*rapid.T) { anyVM().off = true },
-			"a VM freezes": func(*rapid.T) { anyVM().frozenUntil = f.now.Add(2 * time.Second) },
-			"all are killed and start": func(*rapid.T) {
+			"a VM is stopped": func(*rapid.T) { anyVM().stopped = true },
+			"a VM freezes":    func(*rapid.T) { anyVM().frozenUntil = f.now.Add(2 * time.Second) },
+			"all VMs restart": func(*rapid.T) {
 				for _, vm := range f.vms {
 					f.start(vm)
 				}
 			},
-			"two VMs are cut, or joined": func(*rapid.T) {
+			"two VMs are partitioned or rejoined": func(*rapid.T) {
 				pair := [2]int{anyVM().n, anyVM().n}
-				f.apart[pair] = !f.apart[pair]
+				f.partitioned[pair] = !f.partitioned[pair]
 			},
-			"a VM is cut off, or joined": func(*rapid.T) {
+			"a VM is partitioned from all others or rejoined": func(*rapid.T) {
 				cut := anyVM().n
 				for n := range quotaVMs {
-					f.apart[[2]int{n, cut}] = !f.apart[[2]int{n, cut}]
-					f.apart[[2]int{cut, n}] = !f.apart[[2]int{cut, n}]
+					f.partitioned[[2]int{n, cut}] = !f.partitioned[[2]int{n, cut}]
+					f.partitioned[[2]int{cut, n}] = !f.partitioned[[2]int{cut, n}]
 				}
 			},
-			"halves are cut, or joined": func(*rapid.T) {
+			"both halves are partitioned or rejoined": func(*rapid.T) {
 				for a := range quotaVMs {
 					for b := range quotaVMs {
 						if a%2 != b%2 {
-							f.apart[[2]int{a, b}] = !f.apart[[2]int{a, b}]
+							f.partitioned[[2]int{a, b}] = !f.partitioned[[2]int{a, b}]
 						}
 					}
 				}
 			},
-			"messages are lost, or not": func(*rapid.T) { f.loss = 0.5 - f.loss },
-			"":                          func(*rapid.T) { f.pass(200 * time.Millisecond) },
+			"messages are lost or delivered": func(*rapid.T) { f.loss = 0.5 - f.loss },
+			"":                               func(*rapid.T) { f.advance(200 * time.Millisecond) },
 		})
 	})
 }
 
-// With nothing in the way the target gets at least half of what it bears.
-func TestCalmFleetUsesABound(t *testing.T) {
+// Guards against an unused quota: without faults, a cold target gets at least half of its
+// limit.
+func TestQuotaIsUsed(t *testing.T) {
 	for _, rate := range coldRates {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			for seed := range uint64(3) {
 				f := newQuotaFleet(t.Fatalf, seed, rate)
-				f.pass(time.Second)
+				f.advance(time.Second)
 				if float64(len(f.uses)) < rate/2 {
-					t.Fatalf("the target got %d in a second, want at least %v", len(f.uses), rate/2)
+					t.Fatalf("target got %d requests in a second, want at least %v", len(f.uses), rate/2)
 				}
 			}
 		})
 	}
 }
 
-// Guards against fleets that start in which most VMs take themselves for the first by rank.
+// Guards against most VMs of a starting fleet ranking themselves first.
 func TestKnowsOthers(t *testing.T) {
-	t.Run("alone with seeds", func(t *testing.T) {
+	t.Run("no other VM, with seeds", func(t *testing.T) {
 		b := newBoard(1, 3)
-		qt.Assert(t, b.KnowsOthers(start.Add(startupTime-1)), qt.IsFalse)
-		qt.Assert(t, b.KnowsOthers(start.Add(startupTime)), qt.IsTrue)
+		qt.Assert(t, b.KnowsOthers(start.Add(discoveryPeriod-1)), qt.IsFalse)
+		qt.Assert(t, b.KnowsOthers(start.Add(discoveryPeriod)), qt.IsTrue)
 	})
 	t.Run("alone", func(t *testing.T) {
 		b := newBoard(1, 1)
-		qt.Assert(t, b.KnowsOthers(start.Add(settleTime-1)), qt.IsFalse)
-		qt.Assert(t, b.KnowsOthers(start.Add(settleTime)), qt.IsTrue)
+		qt.Assert(t, b.KnowsOthers(start.Add(settlePeriod-1)), qt.IsFalse)
+		qt.Assert(t, b.KnowsOthers(start.Add(settlePeriod)), qt.IsTrue)
 	})
-	t.Run("another one just heard", func(t *testing.T) {
+	t.Run("another VM just heard", func(t *testing.T) {
 		b := newBoard(1, 3)
-		b.Handle(start.Add(time.Second), address(3), beat(3, 1, 1))
-		qt.Assert(t, b.KnowsOthers(start.Add(time.Second+settleTime-1)), qt.IsFalse)
-		qt.Assert(t, b.KnowsOthers(start.Add(time.Second+settleTime)), qt.IsTrue)
+		b.Handle(start.Add(time.Second), address(3), newHeartbeat(3, 1, 1))
+		qt.Assert(t, b.KnowsOthers(start.Add(time.Second+settlePeriod-1)), qt.IsFalse)
+		qt.Assert(t, b.KnowsOthers(start.Add(time.Second+settlePeriod)), qt.IsTrue)
 	})
 }
--- a/core/mix/mix.go
+++ b/core/mix/mix.go
@@ -1,9 +1,9 @@
-// Package mix spreads the bits of numbers, so that numbers that differ little give
-// values that have nothing in common. VMs compare such values with one another, so a
-// number gives the same value in every program.
+// Package mix implements a bit mixer, the finalizer of a hash function. Similar inputs
+// give unrelated outputs. VMs compare outputs with each other, so the function must not
+// change between versions.
 package mix
 
-// Bits returns x with its bits spread. Different numbers give different values.
+// Bits returns x with its bits mixed. It is a bijection.
 func Bits(x uint64) uint64 {
 	const odd = 0xd6e8feb86659fd93
 	x ^= x >> 32
