--- a/core/answer/answer_test.go
+++ b/core/answer/answer_test.go
@@ -26,7 +26,7 @@
 		{"a long answer", []uint32{770}, 100_000, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var s Sizes
+			var s SizeHistogram
 			for i := range 200 {
 				s.Add(test.usual[i%len(test.usual)])
 			}
@@ -34,7 +34,7 @@
 		})
 	}
 	t.Run("no answer is short before minSizeSamples", func(t *testing.T) {
-		var s Sizes
+		var s SizeHistogram
 		for range minSizeSamples - 2 {
 			s.Add(770)
 		}
@@ -43,7 +43,7 @@
 		qt.Assert(t, s.Add(160), qt.IsTrue)
 	})
 	t.Run("the typical size follows a change of the answers", func(t *testing.T) {
-		var s Sizes
+		var s SizeHistogram
 		for range 2000 {
 			s.Add(8000)
 		}
@@ -62,23 +62,23 @@
 }
 
 func TestOutcomesDecay(t *testing.T) {
-	var tally Tally
+	var tally TargetCounter
 	for i := range 10 {
 		tally.Add(start, Answered, uint64(i), 30*time.Millisecond)
 	}
 	tally.Add(start, Short, 1, 0)
 	s := tally.Sample(start)
 	qt.Assert(t, [2]float64{s.Answers, s.Failed}, qt.Equals, [2]float64{11, 1})
-	qt.Assert(t, s.Took, qt.Equals, 30*time.Millisecond)
+	qt.Assert(t, s.Latency, qt.Equals, 30*time.Millisecond)
 	later := tally.Sample(start.Add(window))
 	qt.Assert(t, later.Answers > 4 && later.Answers < 4.1, qt.IsTrue, qt.Commentf("%v", later.Answers))
-	qt.Assert(t, later.Took.Round(time.Microsecond), qt.Equals, 30*time.Millisecond)
-	qt.Assert(t, tally.Sample(start.Add(time.Hour)).Took, qt.Equals, time.Duration(0))
+	qt.Assert(t, later.Latency.Round(time.Microsecond), qt.Equals, 30*time.Millisecond)
+	qt.Assert(t, tally.Sample(start.Add(time.Hour)).Latency, qt.Equals, time.Duration(0))
 }
 
 func TestSampleMerge(t *testing.T) {
-	sum := Sample{Answers: 10, Failed: 2, Took: 20 * time.Millisecond}.Plus(Sample{Answers: 30, Failed: 6, Took: 40 * time.Millisecond})
-	qt.Assert(t, sum, qt.Equals, Sample{Answers: 40, Failed: 8, Took: 35 * time.Millisecond})
+	sum := Sample{Answers: 10, Failed: 2, Latency: 20 * time.Millisecond}.Merge(Sample{Answers: 30, Failed: 6, Latency: 40 * time.Millisecond})
+	qt.Assert(t, sum, qt.Equals, Sample{Answers: 40, Failed: 8, Latency: 35 * time.Millisecond})
 }
 
 // simulatedService is a service whose targets fail at random.
@@ -95,8 +95,8 @@
 func (f *simulatedService) countDetections(seed uint64, seconds int) []int {
 	const step = 100 * time.Millisecond
 	draw := rand.New(rand.NewPCG(seed, 1))
-	tallies := make([]Tally, len(f.failureRates))
-	verdicts := make([]Verdict, len(f.failureRates))
+	tallies := make([]TargetCounter, len(f.failureRates))
+	verdicts := make([]Health, len(f.failureRates))
 	detections := make([]int, len(f.failureRates))
 	for i := range seconds * int(time.Second/step) {
 		now := start.Add(time.Duration(i) * step)
@@ -111,9 +111,9 @@
 			}
 			samples[j] = tallies[j].Sample(now)
 		}
-		peers := PeerShare(samples)
+		peers := UsualFailureRate(samples)
 		for j := range verdicts {
-			if verdicts[j].Judge(now, Evidence{Target: samples[j], Peers: peers, Callers: tallies[j].Callers(now)}) && verdicts[j].State == Failing {
+			if verdicts[j].Update(now, Observations{Target: samples[j], PeerFailureRate: peers, FailedCallers: tallies[j].FailedCallers(now)}) && verdicts[j].State == Failing {
 				detections[j]++
 			}
 		}
@@ -186,11 +186,11 @@
 }
 
 func TestHealthTransitions(t *testing.T) {
-	bad := Evidence{Target: Sample{Answers: 20, Failed: 12}, Callers: 0b111}
-	none := Evidence{}
-	newFailing := func() Verdict {
-		var v Verdict
-		qt.Assert(t, v.Judge(start, bad), qt.IsTrue)
+	bad := Observations{Target: Sample{Answers: 20, Failed: 12}, FailedCallers: 0b111}
+	none := Observations{}
+	newFailing := func() Health {
+		var v Health
+		qt.Assert(t, v.Update(start, bad), qt.IsTrue)
 		return v
 	}
 	t.Run("failing targets have a penalty", func(t *testing.T) {
@@ -200,58 +200,58 @@
 	})
 	t.Run("a trial follows the pause, and Trusted follows the trial", func(t *testing.T) {
 		v := newFailing()
-		qt.Assert(t, v.Judge(start.Add(minPause-1), none), qt.IsFalse)
-		v.Judge(start.Add(minPause), none)
+		qt.Assert(t, v.Update(start.Add(minPause-1), none), qt.IsFalse)
+		v.Update(start.Add(minPause), none)
 		qt.Assert(t, v.State, qt.Equals, OnTrial)
-		v.Judge(start.Add(minPause+trialDuration), none)
+		v.Update(start.Add(minPause+trialDuration), none)
 		qt.Assert(t, v.State, qt.Equals, Trusted)
 		qt.Assert(t, v.Penalty, qt.Equals, 0.0)
 	})
 	t.Run("two new failures end a trial, older ones do not", func(t *testing.T) {
 		v := newFailing()
-		v.Judge(start.Add(minPause), bad)
+		v.Update(start.Add(minPause), bad)
 		qt.Assert(t, v.State, qt.Equals, OnTrial)
-		v.Judge(start.Add(minPause+100*time.Millisecond), bad)
+		v.Update(start.Add(minPause+100*time.Millisecond), bad)
 		qt.Assert(t, v.State, qt.Equals, OnTrial)
 		more := bad
 		more.Target.Failed += 2
-		v.Judge(start.Add(minPause+200*time.Millisecond), more)
+		v.Update(start.Add(minPause+200*time.Millisecond), more)
 		qt.Assert(t, v.State, qt.Equals, Failing)
 	})
 	t.Run("pauses double with relapses up to a limit, and reset later", func(t *testing.T) {
 		v, now := newFailing(), start
 		for _, want := range []time.Duration{2, 4, 8, 16, 16} {
-			qt.Assert(t, v.Until.Sub(now), qt.Equals, want*time.Second)
-			now = v.Until
-			v.Judge(now, none)
+			qt.Assert(t, v.Deadline.Sub(now), qt.Equals, want*time.Second)
+			now = v.Deadline
+			v.Update(now, none)
 			now = now.Add(trialDuration)
-			v.Judge(now, none)
+			v.Update(now, none)
 			qt.Assert(t, v.State, qt.Equals, Trusted)
-			v.Judge(now, bad)
+			v.Update(now, bad)
 		}
-		v.Judge(v.Until, none)
-		v.Judge(v.Until.Add(trialDuration), none)
+		v.Update(v.Deadline, none)
+		v.Update(v.Deadline.Add(trialDuration), none)
 		now = now.Add(time.Hour)
-		v.Judge(now, bad)
-		qt.Assert(t, v.Until.Sub(now), qt.Equals, minPause)
+		v.Update(now, bad)
+		qt.Assert(t, v.Deadline.Sub(now), qt.Equals, minPause)
 	})
 	t.Run("failures of two callers are not enough", func(t *testing.T) {
-		var v Verdict
+		var v Health
 		few := bad
-		few.Callers = 0b11
-		qt.Assert(t, v.Judge(start, few), qt.IsFalse)
+		few.FailedCallers = 0b11
+		qt.Assert(t, v.Update(start, few), qt.IsFalse)
 	})
 }
 
 func BenchmarkSizeHistogram(b *testing.B) {
-	var s Sizes
+	var s SizeHistogram
 	for i := uint32(0); b.Loop(); i++ {
 		s.Add(600 + i%2000)
 	}
 }
 
 func BenchmarkTargetCounter(b *testing.B) {
-	var tally Tally
+	var tally TargetCounter
 	now := start
 	for i := uint64(0); b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
--- a/core/answer/doc.go
+++ b/core/answer/doc.go
@@ -13,8 +13,8 @@
 //	a hang, a crash              no answer for many times the usual time
 //	a refusal of the flow        nothing after the first segment
 //
-// [Sizes] learns the typical answer size of a route over all its targets. [Tally]
-// counts the outcomes at one target. [Verdict.Judge] compares a target with the
+// [SizeHistogram] learns the typical answer size of a route over all its targets. [TargetCounter]
+// counts the outcomes at one target. [Health.Update] compares a target with the
 // others of its service. Only a target that fails more often than they do is
 // failing. If all change alike, the service has changed, the VM's own link is
 // broken, or the service is overloaded; no target is marked as failing then.
@@ -22,7 +22,7 @@
 // # Effect of a detection
 //
 // A failing target remains in load balancing, with additional work of
-// [Verdict.Penalty] slots. It gets new flows again once all other targets have more
+// [Health.Penalty] slots. It gets new flows again once all other targets have more
 // work than that, so that the load which a wrong detection moves is bounded. After
 // a pause the target is on trial: it gets a few flows, of routes whose requests may
 // be repeated. If they are answered, the target is trusted again; if not, the next
@@ -35,7 +35,7 @@
 //     different callers are required.
 //   - A target is judged in comparison with its peers; no size or time is fixed.
 //   - When an incarnation of a target ends, its outcomes are dropped but its
-//     [Verdict] remains: pauses grow for a target that relapses under the same
+//     [Health] remains: pauses grow for a target that relapses under the same
 //     identifier.
 //
 // The present time is an argument; no goroutine, no I/O.
--- a/core/answer/judge.go
+++ b/core/answer/judge.go
@@ -36,8 +36,8 @@
 	// target one flow per TrialGap: 10 flows, of which a target that fails four of ten
 	// requests fails at least two with a probability of 95 %.
 	trialDuration = 2 * time.Second
-	// TrialGap is the time between two flows to a target on trial.
-	TrialGap = 200 * time.Millisecond
+	// TrialInterval is the time between two flows to a target on trial.
+	TrialInterval = 200 * time.Millisecond
 	// trialFailureLimit is the weight of failures that ends a trial early. Two failures
 	// reach it, even if the first one has decayed during the trial.
 	trialFailureLimit = 1.5
@@ -61,15 +61,15 @@
 	OnTrial // on_trial
 )
 
-// Verdict is the health of one target. It covers all incarnations of the target under its
+// Health is the health of one target. It covers all incarnations of the target under its
 // identifier. The zero value is that of a target that has never failed.
-type Verdict struct {
+type Health struct {
 	State State
 	// Penalty, in slots, is added to the work of the target when targets are compared for
 	// load balancing.
 	Penalty float64
-	// Until is when the current pause or trial ends.
-	Until time.Time
+	// Deadline is when the current pause or trial ends.
+	Deadline time.Time
 	// pause is the length of the current or the latest pause.
 	pause time.Duration
 	// trialStart is when the trial began, and failedAtTrialStart the weight of the
@@ -80,38 +80,38 @@
 	recoveredAt time.Time
 }
 
-// Evidence is the input of [Verdict.Judge].
-type Evidence struct {
+// Observations is the input of [Health.Update].
+type Observations struct {
 	// Target holds the outcomes at the target, as seen by all VMs.
 	Target Sample
-	// Peers is the usual failure rate of the targets of the service; see [PeerShare].
-	Peers float64
-	// Callers are the callers whose requests failed at the target.
-	Callers Callers
+	// PeerFailureRate is the usual failure rate of the targets of the service; see [PeerShare].
+	PeerFailureRate float64
+	// FailedCallers are the callers whose requests failed at the target.
+	FailedCallers CallerSet
 }
 
-// Judge updates the state and the penalty. It reports whether the state changed.
-func (v *Verdict) Judge(now time.Time, e Evidence) (changed bool) {
+// Update updates the state and the penalty. It reports whether the state changed.
+func (v *Health) Update(now time.Time, e Observations) (changed bool) {
 	before := v.State
 	switch v.State {
 	case Trusted:
-		if excess := e.excessFailureRate(); excess > 0 && e.Callers.Count() >= minFailedCallers {
+		if excess := e.excessFailureRate(); excess > 0 && e.FailedCallers.Count() >= minFailedCallers {
 			v.markFailing(now, excess)
 		}
 	case Failing:
 		if excess := e.excessFailureRate(); excess > 0 {
 			v.Penalty = max(v.Penalty, penaltyGain*excess)
 		}
-		if !now.Before(v.Until) {
-			v.State, v.Until = OnTrial, now.Add(trialDuration)
+		if !now.Before(v.Deadline) {
+			v.State, v.Deadline = OnTrial, now.Add(trialDuration)
 			v.trialStart, v.failedAtTrialStart = now, e.Target.Failed
 		}
 	case OnTrial:
-		old := v.failedAtTrialStart * fade.Left(now.Sub(v.trialStart), window)
+		old := v.failedAtTrialStart * fade.Factor(now.Sub(v.trialStart), window)
 		switch {
 		case e.Target.Failed-old >= trialFailureLimit:
 			v.markFailing(now, e.excessFailureRate())
-		case !now.Before(v.Until):
+		case !now.Before(v.Deadline):
 			v.State, v.Penalty, v.recoveredAt = Trusted, 0, now
 		}
 	}
@@ -120,19 +120,19 @@
 
 // markFailing marks the target as failing and starts a pause. After a relapse, the pause
 // is twice as long as the previous one.
-func (v *Verdict) markFailing(now time.Time, excess float64) {
+func (v *Health) markFailing(now time.Time, excess float64) {
 	if v.State == Trusted && now.Sub(v.recoveredAt) >= relapsePeriod {
 		v.pause = 0
 	}
 	v.pause = min(max(2*v.pause, minPause), maxPause)
-	v.State, v.Until = Failing, now.Add(v.pause)
+	v.State, v.Deadline = Failing, now.Add(v.pause)
 	v.Penalty = max(v.Penalty, penaltyGain*excess)
 }
 
 // excessFailureRate returns the part of the target's failure rate that neither its peers
 // nor random variation explain. It is 0 or negative for a healthy target.
-func (e *Evidence) excessFailureRate() float64 {
-	return failureRateLowerBound(e.Target) - peerRateFactor*e.Peers - peerRateMargin
+func (e *Observations) excessFailureRate() float64 {
+	return failureRateLowerBound(e.Target) - peerRateFactor*e.PeerFailureRate - peerRateMargin
 }
 
 const (
@@ -145,13 +145,13 @@
 	pooledRateFactor = 0.5
 )
 
-// PeerShare returns the usual failure rate of the targets of a service. It is their
+// UsualFailureRate returns the usual failure rate of the targets of a service. It is their
 // median, so that failing targets do not change it as long as they are a minority.
-func PeerShare(targets []Sample) float64 {
+func UsualFailureRate(targets []Sample) float64 {
 	var all Sample
 	shares := make([]float64, 0, len(targets))
 	for _, t := range targets {
-		all = all.Plus(t)
+		all = all.Merge(t)
 		if t.Answers >= minMedianAnswers {
 			shares = append(shares, t.Failed/t.Answers)
 		}
--- a/core/answer/sizes.go
+++ b/core/answer/sizes.go
@@ -32,9 +32,9 @@
 	refreshInterval = 16
 )
 
-// Sizes is a histogram of the answer sizes of one route, in which older answers have less
+// SizeHistogram is a histogram of the answer sizes of one route, in which older answers have less
 // weight. It is safe for concurrent use. The zero value is empty.
-type Sizes struct {
+type SizeHistogram struct {
 	mu           sync.Mutex
 	counts       [bucketCount]float32
 	total        float32
@@ -45,7 +45,7 @@
 
 // Add adds the size of an answer in bytes. It reports whether the answer is much shorter
 // than the typical one.
-func (s *Sizes) Add(bytes uint32) (short bool) {
+func (s *SizeHistogram) Add(bytes uint32) (short bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[bucketIndex(bytes)]++
@@ -61,7 +61,7 @@
 	return s.added >= minSizeSamples && float64(bytes) < shortRatio*s.typical
 }
 
-func (s *Sizes) halveWeights() {
+func (s *SizeHistogram) halveWeights() {
 	s.total = 0
 	for i := range s.counts {
 		s.counts[i] /= 2
@@ -71,7 +71,7 @@
 
 // quantile returns the lower limit of the bucket that contains the given quantile, in
 // bytes.
-func (s *Sizes) quantile(part float32) float64 {
+func (s *SizeHistogram) quantile(part float32) float64 {
 	sum := float32(0)
 	for i, count := range s.counts {
 		if sum += count; sum > part*s.total {
--- a/core/answer/tally.go
+++ b/core/answer/tally.go
@@ -42,23 +42,23 @@
 type Sample struct {
 	// Answers counts all outcomes, Failed those other than Answered.
 	Answers, Failed float64
-	// Took is the mean response time of the requests with outcome Answered.
-	Took time.Duration
+	// Latency is the mean response time of the requests with outcome Answered.
+	Latency time.Duration
 }
 
-// Plus returns the combination of two samples.
-func (s Sample) Plus(o Sample) Sample {
+// Merge returns the combination of two samples.
+func (s Sample) Merge(o Sample) Sample {
 	succeeded, others := s.Answers-s.Failed, o.Answers-o.Failed
 	sum := Sample{Answers: s.Answers + o.Answers, Failed: s.Failed + o.Failed}
 	if all := succeeded + others; all > 0 {
-		sum.Took = time.Duration((float64(s.Took)*succeeded + float64(o.Took)*others) / all)
+		sum.Latency = time.Duration((float64(s.Latency)*succeeded + float64(o.Latency)*others) / all)
 	}
 	return sum
 }
 
-// Sum counts outcomes, whose weight decays exponentially. It is not safe for concurrent
+// Counter counts outcomes, whose weight decays exponentially. It is not safe for concurrent
 // use. The zero value is empty.
-type Sum struct {
+type Counter struct {
 	answers, failed float64
 	// totalSeconds is the sum of the response times of the answered requests.
 	totalSeconds float64
@@ -66,7 +66,7 @@
 }
 
 // Add counts an outcome. took is the response time if the request was answered.
-func (s *Sum) Add(now time.Time, outcome Outcome, took time.Duration) {
+func (s *Counter) Add(now time.Time, outcome Outcome, took time.Duration) {
 	s.decay(now)
 	s.answers++
 	if outcome == Answered {
@@ -77,8 +77,8 @@
 }
 
 // decay reduces all weights to their values at the given time.
-func (s *Sum) decay(now time.Time) {
-	left := fade.Left(now.Sub(s.updatedAt), window)
+func (s *Counter) decay(now time.Time) {
+	left := fade.Factor(now.Sub(s.updatedAt), window)
 	s.answers *= left
 	s.failed *= left
 	s.totalSeconds *= left
@@ -88,19 +88,19 @@
 }
 
 // Sample returns the counts at the given time.
-func (s *Sum) Sample(now time.Time) Sample {
+func (s *Counter) Sample(now time.Time) Sample {
 	s.decay(now)
 	sample := Sample{Answers: s.answers, Failed: s.failed}
 	if succeeded := s.answers - s.failed; succeeded > minLatencyWeight {
-		sample.Took = time.Duration(s.totalSeconds / succeeded * float64(time.Second))
+		sample.Latency = time.Duration(s.totalSeconds / succeeded * float64(time.Second))
 	}
 	return sample
 }
 
-// Tally counts the outcomes at one target and limits the effect of single callers. It is
+// TargetCounter counts the outcomes at one target and limits the effect of single callers. It is
 // not safe for concurrent use. The zero value is empty.
-type Tally struct {
-	Sum
+type TargetCounter struct {
+	Counter
 	recentFailures [maxRecentFailures]callerFailure
 	nextSlot       int
 }
@@ -113,7 +113,7 @@
 
 // Add counts an outcome of a request of the caller with the given hash. It returns false
 // without counting if a failure of the same caller was counted within callerInterval.
-func (t *Tally) Add(now time.Time, outcome Outcome, caller uint64, took time.Duration) bool {
+func (t *TargetCounter) Add(now time.Time, outcome Outcome, caller uint64, took time.Duration) bool {
 	if outcome != Answered {
 		if t.countedRecently(now, caller) {
 			return false
@@ -121,13 +121,13 @@
 		t.recentFailures[t.nextSlot] = callerFailure{caller, now}
 		t.nextSlot = (t.nextSlot + 1) % maxRecentFailures
 	}
-	t.Sum.Add(now, outcome, took)
+	t.Counter.Add(now, outcome, took)
 	return true
 }
 
 // countedRecently reports whether a failure of the caller was counted within
 // callerInterval.
-func (t *Tally) countedRecently(now time.Time, caller uint64) bool {
+func (t *TargetCounter) countedRecently(now time.Time, caller uint64) bool {
 	for _, s := range t.recentFailures {
 		if s.caller == caller && !s.at.IsZero() && now.Sub(s.at) < callerInterval {
 			return true
@@ -136,18 +136,18 @@
 	return false
 }
 
-// Callers is a set of callers, with one bit for each hash value modulo callerBits. Callers
+// CallerSet is a set of callers, with one bit for each hash value modulo callerBits. CallerSet
 // that share a bit count as one, so that Count never returns too many.
-type Callers uint16
+type CallerSet uint16
 
 // callerBits is the number of bits of Callers.
 const callerBits = 16
 
 // Count returns the least number of different callers in the set.
-func (c Callers) Count() int { return bits.OnesCount16(uint16(c)) }
+func (c CallerSet) Count() int { return bits.OnesCount16(uint16(c)) }
 
-// Callers returns the callers whose requests failed within the window.
-func (t *Tally) Callers(now time.Time) (set Callers) {
+// FailedCallers returns the callers whose requests failed within the window.
+func (t *TargetCounter) FailedCallers(now time.Time) (set CallerSet) {
 	for _, s := range t.recentFailures {
 		if !s.at.IsZero() && now.Sub(s.at) < window {
 			set |= 1 << (s.caller % callerBits)
--- a/core/fade/fade.go
+++ b/core/fade/fade.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Left returns the factor by which a weight has decayed after some time: 1 at first, 1/e
+// Factor returns the factor by which a weight has decayed after some time: 1 at first, 1/e
 // after the window. It returns 1 if the time is negative.
-func Left(passed, window time.Duration) float64 {
+func Factor(passed, window time.Duration) float64 {
 	if passed <= 0 {
 		return 1
 	}
--- a/core/fade/fade_test.go
+++ b/core/fade/fade_test.go
@@ -11,19 +11,19 @@
 	"baobabstep/core/fade"
 )
 
-func ExampleLeft() {
-	fmt.Printf("%.2f", fade.Left(2*time.Second, time.Second))
+func ExampleFactor() {
+	fmt.Printf("%.2f", fade.Factor(2*time.Second, time.Second))
 	// Output: 0.14
 }
 
-func TestLeft(t *testing.T) {
+func TestFactor(t *testing.T) {
 	for _, test := range []struct {
 		passed time.Duration
 		want   float64
 	}{
 		{-time.Second, 1}, {0, 1}, {time.Second, 1 / math.E}, {time.Hour, 0},
 	} {
-		got := fade.Left(test.passed, time.Second)
+		got := fade.Factor(test.passed, time.Second)
 		qt.Check(t, math.Abs(got-test.want) < 1e-9, qt.IsTrue, qt.Commentf("after %v: got %v, want %v", test.passed, got, test.want))
 	}
 }
--- a/core/heartbeat/alarm.go
+++ b/core/heartbeat/alarm.go
@@ -27,9 +27,9 @@
 // timeouts.
 type Alarm struct {
 	From baobabstep.VMID `cbor:"1,keyasint"`
-	// Life and Number are as in Heartbeat, and numbered together with the heartbeats.
-	Life   uint64 `cbor:"2,keyasint"`
-	Number uint64 `cbor:"3,keyasint"`
+	// Incarnation and Number are as in Heartbeat, and numbered together with the heartbeats.
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Sequence    uint64 `cbor:"3,keyasint"`
 	// Loads contain only the details about silence.
 	Loads Loads `cbor:"4,keyasint"`
 }
@@ -64,7 +64,7 @@
 	}
 	if l.Unanswered > 0 {
 		r.silence = baobabstep.Silence{
-			Unanswered: int(l.Unanswered), Opens: int(l.Opens), Vanished: int(l.Vanished), LeftAt: ago(l.LeftMS),
+			Unanswered: int(l.Unanswered), Opens: int(l.Opens), Vanished: int(l.Vanished), LeftAt: ago(l.LastUnansweredMS),
 		}
 	}
 	return r
@@ -80,9 +80,9 @@
 	}
 }
 
-// Alarm returns alarms about silent targets for the VMs of the data centre, or none if the
+// MakeAlarms returns alarms about silent targets for the VMs of the data centre, or none if the
 // rate limit is exceeded.
-func (b *Board) Alarm(now time.Time, silentTargets []baobabstep.TargetLoad) []Out {
+func (b *PeerTable) MakeAlarms(now time.Time, silentTargets []baobabstep.TargetLoad) []Outgoing {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	loads := MakeLoads(now, silentTargets, maxAlarmLoads)
@@ -94,10 +94,10 @@
 		return nil
 	}
 	b.number++
-	m := &Message{Alarm: &Alarm{From: b.options.Self, Life: b.options.Life, Number: b.number, Loads: loads}}
-	outs := make([]Out, 0, len(recipients))
+	m := &Message{Alarm: &Alarm{From: b.options.Self, Incarnation: b.options.Incarnation, Sequence: b.number, Loads: loads}}
+	outs := make([]Outgoing, 0, len(recipients))
 	for _, address := range recipients {
-		outs = append(outs, Out{To: address, Message: m})
+		outs = append(outs, Outgoing{To: address, Message: m})
 	}
 	return outs
 }
@@ -109,7 +109,7 @@
 )
 
 // alarmRecipients returns the VMs that get an alarm.
-func (b *Board) alarmRecipients(now time.Time) []netip.AddrPort {
+func (b *PeerTable) alarmRecipients(now time.Time) []netip.AddrPort {
 	to := b.liveNearAddresses(now)
 	if len(to) > alarmFanout {
 		b.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
@@ -121,17 +121,17 @@
 // HandleAlarm processes an alarm and returns what all VMs now report about the targets in
 // it. The alarm is ignored if no heartbeat of its sender is known, if the sender is in
 // another data centre or another incarnation, or if a later message of it is known.
-func (b *Board) HandleAlarm(now time.Time, from netip.AddrPort, a *Alarm) map[baobabstep.TargetID]baobabstep.TargetLoad {
+func (b *PeerTable) HandleAlarm(now time.Time, from netip.AddrPort, a *Alarm) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[from]
 	switch {
 	case p == nil || p.last == nil || p.last.DataCentre != b.options.DataCentre:
 		return nil
-	case a.From != p.last.From || a.Life != p.last.Life || a.Number <= max(p.alarmSequence, p.last.Number):
+	case a.From != p.last.From || a.Incarnation != p.last.Incarnation || a.Sequence <= max(p.alarmSequence, p.last.Sequence):
 		return nil
 	}
-	p.alarmSequence = a.Number
+	p.alarmSequence = a.Sequence
 	if p.reports == nil {
 		p.reports = make(map[baobabstep.TargetID]silenceReport)
 	}
@@ -146,7 +146,7 @@
 
 // combinedSilence returns the silence of a target as reported by the live VMs of the data
 // centre.
-func (b *Board) combinedSilence(now time.Time, id baobabstep.TargetID) (sum baobabstep.TargetLoad) {
+func (b *PeerTable) combinedSilence(now time.Time, id baobabstep.TargetID) (sum baobabstep.TargetLoad) {
 	for _, p := range b.peers {
 		if r, ok := p.reports[id]; ok && b.isLive(now, p) && p.last.DataCentre == b.options.DataCentre {
 			r.addTo(&sum)
--- a/core/heartbeat/alarm_test.go
+++ b/core/heartbeat/alarm_test.go
@@ -10,7 +10,7 @@
 )
 
 // addNearPeers adds heartbeats of some VMs of the own data centre.
-func addNearPeers(b *Board, count int) {
+func addNearPeers(b *PeerTable, count int) {
 	for n := range count {
 		b.Handle(start, address(2*n+3), newHeartbeat(2*n+3, 1, 1))
 	}
@@ -24,7 +24,7 @@
 	b := newBoard(1)
 	addNearPeers(b, 10)
 	b.Handle(start, address(2), newHeartbeat(2, 1, 1))
-	outs := b.Alarm(start, []baobabstep.TargetLoad{silentTarget})
+	outs := b.MakeAlarms(start, []baobabstep.TargetLoad{silentTarget})
 	qt.Assert(t, outs, qt.HasLen, 10)
 	for _, o := range outs {
 		qt.Assert(t, b.IsNear(o.To), qt.IsTrue)
@@ -52,11 +52,11 @@
 		alarm Alarm
 		taken bool
 	}{
-		{"new", 3, Alarm{From: 3, Life: 5, Number: 11, Loads: loads}, true},
-		{"older than the heartbeat", 3, Alarm{From: 3, Life: 5, Number: 10, Loads: loads}, false},
-		{"of another incarnation", 3, Alarm{From: 3, Life: 4, Number: 99, Loads: loads}, false},
-		{"of a VM of another data centre", 2, Alarm{From: 2, Life: 5, Number: 11, Loads: loads}, false},
-		{"of an unknown VM", 5, Alarm{From: 5, Life: 5, Number: 11, Loads: loads}, false},
+		{"new", 3, Alarm{From: 3, Incarnation: 5, Sequence: 11, Loads: loads}, true},
+		{"older than the heartbeat", 3, Alarm{From: 3, Incarnation: 5, Sequence: 10, Loads: loads}, false},
+		{"of another incarnation", 3, Alarm{From: 3, Incarnation: 4, Sequence: 99, Loads: loads}, false},
+		{"of a VM of another data centre", 2, Alarm{From: 2, Incarnation: 5, Sequence: 11, Loads: loads}, false},
+		{"of an unknown VM", 5, Alarm{From: 5, Incarnation: 5, Sequence: 11, Loads: loads}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBoard(1)
@@ -85,7 +85,7 @@
 		for _, p := range b.peers {
 			p.lastHeard = now
 		}
-		for _, o := range b.Alarm(now, []baobabstep.TargetLoad{silentTarget}) {
+		for _, o := range b.MakeAlarms(now, []baobabstep.TargetLoad{silentTarget}) {
 			raw, err := Encode(o.Message)
 			qt.Assert(t, err, qt.IsNil)
 			bytes += len(raw)
--- a/core/heartbeat/ask.go
+++ b/core/heartbeat/ask.go
@@ -8,7 +8,7 @@
 )
 
 // IsNear reports whether the VM at an address is in the own data centre.
-func (b *Board) IsNear(address netip.AddrPort) bool {
+func (b *PeerTable) IsNear(address netip.AddrPort) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[address]
@@ -30,16 +30,16 @@
 // counted. VMs that cannot read the store rank after all that can; storeUnreadable is set
 // if this VM cannot. They have ranks among each other, so that only a few of them keep
 // trying.
-func (b *Board) Rank(now time.Time, storeUnreadable bool) Rank {
+func (b *PeerTable) Rank(now time.Time, storeUnreadable bool) Rank {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var rank Rank
 	before := make(map[string]bool)
 	for _, p := range b.peers {
-		if !b.isLive(now, p) || p.last.Leaving || p.last.Blind && !storeUnreadable {
+		if !b.isLive(now, p) || p.last.Leaving || p.last.StoreUnreadable && !storeUnreadable {
 			continue
 		}
-		if p.last.From >= b.options.Self && p.last.Blind == storeUnreadable {
+		if p.last.From >= b.options.Self && p.last.StoreUnreadable == storeUnreadable {
 			continue
 		}
 		if p.last.DataCentre == b.options.DataCentre {
@@ -52,9 +52,9 @@
 	return rank
 }
 
-// Live returns the number of live VMs of each data centre, without this one. A remote data
+// LiveCounts returns the number of live VMs of each data centre, without this one. A remote data
 // centre that was silent for its timeout (see farTimeout) is left out.
-func (b *Board) Live(now time.Time) map[string]int {
+func (b *PeerTable) LiveCounts(now time.Time) map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	live := make(map[string]int)
@@ -112,28 +112,28 @@
 // with total live peers in all data centres. It grows with the mean time between
 // heartbeats, which is long for a small data centre in a large fleet. A VM that does not
 // report its turn is assumed to send to FarFanout VMs of other data centres every Far.
-func (b *Board) farTimeout(s *farStats, total int) time.Duration {
+func (b *PeerTable) farTimeout(s *farStats, total int) time.Duration {
 	elsewhere := max(1, total+1-s.vms)
-	rate := s.rate + float64(s.withoutTurn*min(b.options.FarFanout, elsewhere))/(b.options.Far.Seconds()*float64(elsewhere))
-	return max(b.options.FarSilent, time.Duration(farTimeoutGaps/rate*float64(time.Second)))
+	rate := s.rate + float64(s.withoutTurn*min(b.options.FarFanout, elsewhere))/(b.options.FarInterval.Seconds()*float64(elsewhere))
+	return max(b.options.DataCentreTimeout, time.Duration(farTimeoutGaps/rate*float64(time.Second)))
 }
 
-// Newer returns a live VM that holds a newer version with different content. It prefers
+// FindNewer returns a live VM that holds a newer version with different content. It prefers
 // VMs of the own data centre. Of several with the newest version it returns a random one,
 // so that requests are spread over them.
-func (b *Board) Newer(now time.Time, kind Kind, revision baobabstep.Revision, sum uint64) (from netip.AddrPort, ok bool) {
+func (b *PeerTable) FindNewer(now time.Time, kind Kind, revision baobabstep.Revision, sum uint64) (from netip.AddrPort, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, near := range []bool{true, false} {
 		same := 0
 		for _, p := range b.peersByAddress(near) {
-			held := Held{}
+			held := VersionInfo{}
 			if b.isLive(now, p) {
-				held = p.last.HeldOf(kind)
+				held = p.last.VersionOf(kind)
 			}
 			heldRevision := held.Revision()
 			switch {
-			case heldRevision.Before(revision) || heldRevision == revision && !ok || held.Sum == sum:
+			case heldRevision.Before(revision) || heldRevision == revision && !ok || held.Checksum == sum:
 				continue
 			case revision.Before(heldRevision):
 				same = 0
--- a/core/heartbeat/beat.go
+++ b/core/heartbeat/beat.go
@@ -9,20 +9,20 @@
 	"baobabstep"
 )
 
-// Own is the state of this VM that heartbeats contain.
-type Own struct {
-	Leaving, Blind bool
-	Held           [Kinds]Held
+// LocalState is the state of this VM that heartbeats contain.
+type LocalState struct {
+	Leaving, StoreUnreadable bool
+	Versions                 [NumKinds]VersionInfo
 	// Loads is the load that this VM sends to targets.
 	Loads []baobabstep.TargetLoad
 }
 
-// Due reports whether heartbeats are due. Callers use it to collect the content of
+// HeartbeatsDue reports whether heartbeats are due. Callers use it to collect the content of
 // heartbeats, which is expensive, only when needed.
-func (b *Board) Due(now time.Time) bool {
+func (b *PeerTable) HeartbeatsDue(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return roundNumber(now, b.options.Near) != b.nearRound || roundNumber(now, b.options.Far) != b.farRound
+	return roundNumber(now, b.options.NearInterval) != b.nearRound || roundNumber(now, b.options.FarInterval) != b.farRound
 }
 
 // roundNumber returns the number of the interval that contains now. VMs with synchronized
@@ -32,14 +32,14 @@
 }
 
 // Tick returns the heartbeats that are due.
-func (b *Board) Tick(now time.Time, own Own) []Out {
+func (b *PeerTable) Tick(now time.Time, own LocalState) []Outgoing {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dropSilentPeers(now)
 	b.fanouts = b.computeFanouts(now, own.Loads)
 	b.updateTurns()
-	var outs []Out
-	if at := roundNumber(now, b.options.Near); at != b.nearRound {
+	var outs []Outgoing
+	if at := roundNumber(now, b.options.NearInterval); at != b.nearRound {
 		b.nearRound = at
 		list := b.peersByAddress(true)
 		to := turnPeers(list, at, b.fanouts.near, b.turnOffset(now, len(list)))
@@ -47,7 +47,7 @@
 		outs = b.appendHeartbeats(outs, now, own, nearHeartbeatOptions(b), to)
 		outs = b.appendHeartbeats(outs, now, own, farHeartbeatOptions(b), far)
 	}
-	if at := roundNumber(now, b.options.Far); at != b.farRound {
+	if at := roundNumber(now, b.options.FarInterval); at != b.farRound {
 		b.farRound = at
 		list := b.peersByAddress(false)
 		outs = b.appendHeartbeats(outs, now, own, farHeartbeatOptions(b), turnPeers(list, at, b.fanouts.far, b.turnOffset(now, len(list))))
@@ -63,7 +63,7 @@
 // drops some of the latter if necessary. New peers are the VMs in newPeers, which may
 // know no other VM, and a random selection of those of which only the address is known.
 // VMs known to be in another data centre are returned in far.
-func (b *Board) addNewPeers(turn []*peer) (to, far []*peer) {
+func (b *PeerTable) addNewPeers(turn []*peer) (to, far []*peer) {
 	unknown := b.unknownPeers()
 	b.options.Rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
 	added := slices.DeleteFunc(append(b.newPeers, unknown...), func(p *peer) bool { return slices.Contains(turn, p) })
@@ -88,7 +88,7 @@
 // heard since the last call. A VM that has just started knows only the seeds, and learns
 // of the others from these heartbeats. VMs above the rate limit wait for the next call or
 // round.
-func (b *Board) AnswerNewPeers(now time.Time, own Own) (outs []Out) {
+func (b *PeerTable) AnswerNewPeers(now time.Time, own LocalState) (outs []Outgoing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own.Loads = nil
@@ -105,7 +105,7 @@
 }
 
 // HasNewPeers reports whether new peers wait for an answer.
-func (b *Board) HasNewPeers() bool {
+func (b *PeerTable) HasNewPeers() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.newPeers) > 0
@@ -115,7 +115,7 @@
 // VM start. Offsets are spread over the VMs of a data centre. With equal offsets, a
 // receiver would get the heartbeats of all of them in one round, which can overflow its
 // socket buffer, and then none for seconds.
-func (b *Board) turnOffset(now time.Time, length int) int {
+func (b *PeerTable) turnOffset(now time.Time, length int) int {
 	rank, vms := 0, 1
 	for _, p := range b.peers {
 		if !b.isLive(now, p) || p.last.DataCentre != b.options.DataCentre {
@@ -133,7 +133,7 @@
 // this VM holds something new or leaves. If far is set, one VM of each other data centre
 // gets one too. VMs that learn of a new version in this way announce it in turn, so that
 // no VM has to send the complete content to all.
-func (b *Board) Announce(now time.Time, own Own, far bool) []Out {
+func (b *PeerTable) Announce(now time.Time, own LocalState, far bool) []Outgoing {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	to := b.peersByAddress(true)
@@ -145,9 +145,9 @@
 	return outs
 }
 
-// Spread returns the recipients of a change: all live VMs of the own data centre and, if
+// ChangeRecipients returns the recipients of a change: all live VMs of the own data centre and, if
 // far is set, one of each other.
-func (b *Board) Spread(now time.Time, far bool) []netip.AddrPort {
+func (b *PeerTable) ChangeRecipients(now time.Time, far bool) []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	to := b.liveNearAddresses(now)
@@ -174,7 +174,7 @@
 // origin. The VMs, sorted by address and rotated to start at origin, form a tree in which
 // each has at limit fanout children. If VMs disagree on the membership, some receive the
 // change twice, and others detect from a heartbeat that they missed it.
-func (b *Board) RelayPeers(now time.Time, origin netip.AddrPort, fanout int) (to []netip.AddrPort) {
+func (b *PeerTable) RelayPeers(now time.Time, origin netip.AddrPort, fanout int) (to []netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ring := append(b.liveNearAddresses(now), b.options.Address)
@@ -192,13 +192,13 @@
 }
 
 // FarPeers returns one VM of each other data centre.
-func (b *Board) FarPeers(now time.Time) []netip.AddrPort {
+func (b *PeerTable) FarPeers(now time.Time) []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.farPeerAddresses(now)
 }
 
-func (b *Board) farPeerAddresses(now time.Time) (to []netip.AddrPort) {
+func (b *PeerTable) farPeerAddresses(now time.Time) (to []netip.AddrPort) {
 	for _, p := range b.firstFarPeers(now) {
 		to = append(to, p.address)
 	}
@@ -210,7 +210,7 @@
 
 // RelayDelay estimates the time a relayed change takes from the first to the last VM
 // of the data centre, for a change of which each VM sends minRelayFanout copies.
-func (b *Board) RelayDelay() time.Duration {
+func (b *PeerTable) RelayDelay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	levels := 0
@@ -222,7 +222,7 @@
 }
 
 // liveNearAddresses returns the addresses of all live VMs of the own data centre.
-func (b *Board) liveNearAddresses(now time.Time) (list []netip.AddrPort) {
+func (b *PeerTable) liveNearAddresses(now time.Time) (list []netip.AddrPort) {
 	for _, p := range b.peersByAddress(true) {
 		if b.isLive(now, p) {
 			list = append(list, p.address)
@@ -233,7 +233,7 @@
 
 // firstFarPeers returns the live VM with the lowest identifier of each other data centre.
 // Leaving VMs are skipped.
-func (b *Board) firstFarPeers(now time.Time) []*peer {
+func (b *PeerTable) firstFarPeers(now time.Time) []*peer {
 	first := make(map[string]*peer)
 	for _, p := range b.peers {
 		if !b.isLive(now, p) || p.last.DataCentre == b.options.DataCentre || p.last.Leaving {
@@ -270,35 +270,35 @@
 	turn time.Duration
 }
 
-func nearHeartbeatOptions(b *Board) heartbeatOptions {
-	return heartbeatOptions{loadLimit: maxLoads, turn: time.Duration(b.nearTurns) * b.options.Near}
+func nearHeartbeatOptions(b *PeerTable) heartbeatOptions {
+	return heartbeatOptions{loadLimit: maxLoads, turn: time.Duration(b.nearTurns) * b.options.NearInterval}
 }
 
-func farHeartbeatOptions(b *Board) heartbeatOptions {
-	return heartbeatOptions{loadLimit: maxFarLoads, turn: time.Duration(b.farTurns) * b.options.Far}
+func farHeartbeatOptions(b *PeerTable) heartbeatOptions {
+	return heartbeatOptions{loadLimit: maxFarLoads, turn: time.Duration(b.farTurns) * b.options.FarInterval}
 }
 
 // appendHeartbeats appends one heartbeat for each of the given VMs to outs.
-func (b *Board) appendHeartbeats(outs []Out, now time.Time, own Own, o heartbeatOptions, to []*peer) []Out {
+func (b *PeerTable) appendHeartbeats(outs []Outgoing, now time.Time, own LocalState, o heartbeatOptions, to []*peer) []Outgoing {
 	if len(to) == 0 {
 		return outs
 	}
 	b.number++
 	h := &Heartbeat{
-		From: b.options.Self, DataCentre: b.options.DataCentre, Life: b.options.Life, Number: b.number,
-		Leaving: own.Leaving, Blind: own.Blind, Held: [chunkedKinds]Held(own.Held[:chunkedKinds]), HeldEvacuations: own.Held[Evacuations], Loads: MakeLoads(now, own.Loads, o.loadLimit), Peers: b.samplePeers(now),
+		From: b.options.Self, DataCentre: b.options.DataCentre, Incarnation: b.options.Incarnation, Sequence: b.number,
+		Leaving: own.Leaving, StoreUnreadable: own.StoreUnreadable, Versions: [chunkedKinds]VersionInfo(own.Versions[:chunkedKinds]), EvacuationsVersion: own.Versions[Evacuations], Loads: MakeLoads(now, own.Loads, o.loadLimit), Peers: b.samplePeers(now),
 		TurnMS: uint32(o.turn.Milliseconds()),
 	}
 	m := &Message{Heartbeat: h}
 	for _, p := range to {
-		outs = append(outs, Out{To: p.address, Message: m})
+		outs = append(outs, Outgoing{To: p.address, Message: m})
 	}
 	return outs
 }
 
 // samplePeers returns the addresses of up to maxPeers random live VMs. It prefers those of
 // the own data centre, and includes at least one of another if any is live.
-func (b *Board) samplePeers(now time.Time) []netip.AddrPort {
+func (b *PeerTable) samplePeers(now time.Time) []netip.AddrPort {
 	var near, far []netip.AddrPort
 	for _, p := range b.peers {
 		switch {
@@ -317,7 +317,7 @@
 
 // shuffleAddresses sorts a list before it shuffles it, so that the result does not depend
 // on the iteration order of a map.
-func (b *Board) shuffleAddresses(list []netip.AddrPort) {
+func (b *PeerTable) shuffleAddresses(list []netip.AddrPort) {
 	slices.SortFunc(list, netip.AddrPort.Compare)
 	b.options.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
--- a/core/heartbeat/board.go
+++ b/core/heartbeat/board.go
@@ -14,53 +14,53 @@
 	"baobabstep/core/quota"
 )
 
-// Options are the settings of a [Board]. A zero value selects the default, which is given
+// Options are the settings of a [PeerTable]. A zero value selects the default, which is given
 // in parentheses.
 type Options struct {
 	Self       baobabstep.VMID
 	DataCentre string
 	Address    netip.AddrPort
-	// Life is the incarnation number: the start time of this VM, in milliseconds.
-	Life uint64
+	// Incarnation is the incarnation number: the start time of this VM, in milliseconds.
+	Incarnation uint64
 	// Seeds are the addresses of the VMs that are contacted first.
 	Seeds []netip.AddrPort
 	Rand  *rand.Rand
 
-	// Near and Far are the times between two heartbeats to a VM of the own and of another
+	// NearInterval and FarInterval are the times between two heartbeats to a VM of the own and of another
 	// data centre (200 ms, 500 ms). Traffic between data centres costs money.
-	Near, Far time.Duration
+	NearInterval, FarInterval time.Duration
 	// NearFanout and FarFanout limit the VMs that get a heartbeat in one such interval (8,
 	// 6). Larger fleets take turns.
 	NearFanout, FarFanout int
 	// AnnounceFanout limits the VMs of the own data centre that get an unscheduled
 	// heartbeat (4).
 	AnnounceFanout int
-	// Silent is the timeout after which a VM is no longer live (700 ms, three heartbeats
+	// PeerTimeout is the timeout after which a VM is no longer live (700 ms, three heartbeats
 	// and a half). Where VMs take turns, it is multiplied by the number of rounds between
 	// two turns.
-	Silent time.Duration
-	// FarSilent is the silence of all its VMs after which another data centre is
+	PeerTimeout time.Duration
+	// DataCentreTimeout is the silence of all its VMs after which another data centre is
 	// unreachable (1 s). It is longer for data centres whose heartbeats arrive rarely; see
 	// farTimeout.
-	FarSilent time.Duration
-	// Forget is the timeout after which a VM gets no more heartbeats (30 s). It exceeds
+	DataCentreTimeout time.Duration
+	// RemovalTimeout is the timeout after which a VM gets no more heartbeats (30 s). It exceeds
 	// the duration of partitions that heal, so that both sides find each other again.
-	Forget time.Duration
+	RemovalTimeout time.Duration
 }
 
 func (o *Options) setDefaults() {
-	o.Near = cmp.Or(o.Near, 200*time.Millisecond)
-	o.Far = cmp.Or(o.Far, 500*time.Millisecond)
+	o.NearInterval = cmp.Or(o.NearInterval, 200*time.Millisecond)
+	o.FarInterval = cmp.Or(o.FarInterval, 500*time.Millisecond)
 	o.NearFanout = cmp.Or(o.NearFanout, 8)
 	o.FarFanout = cmp.Or(o.FarFanout, 6)
 	o.AnnounceFanout = cmp.Or(o.AnnounceFanout, 4)
-	o.Silent = cmp.Or(o.Silent, 700*time.Millisecond)
-	o.FarSilent = cmp.Or(o.FarSilent, time.Second)
-	o.Forget = cmp.Or(o.Forget, 30*time.Second)
+	o.PeerTimeout = cmp.Or(o.PeerTimeout, 700*time.Millisecond)
+	o.DataCentreTimeout = cmp.Or(o.DataCentreTimeout, time.Second)
+	o.RemovalTimeout = cmp.Or(o.RemovalTimeout, 30*time.Second)
 }
 
-// Out is a message to be sent.
-type Out struct {
+// Outgoing is a message to be sent.
+type Outgoing struct {
 	To      netip.AddrPort
 	Message *Message
 }
@@ -80,9 +80,9 @@
 	alarmSequence uint64
 }
 
-// Board is the table of the other VMs and their latest heartbeats. It is safe for
+// PeerTable is the table of the other VMs and their latest heartbeats. It is safe for
 // concurrent use.
-type Board struct {
+type PeerTable struct {
 	options Options
 	mu      sync.Mutex
 	// peers are the known VMs by address. A VM that was replaced at the same address is
@@ -121,9 +121,9 @@
 }
 
 // New returns a table that contains the seeds.
-func New(now time.Time, o Options) *Board {
+func New(now time.Time, o Options) *PeerTable {
 	o.setDefaults()
-	b := &Board{
+	b := &PeerTable{
 		options: o, peers: make(map[netip.AddrPort]*peer), loadSums: make(targetSums), changedTargets: make(map[baobabstep.TargetID]struct{}), alarmLimiter: rate.NewLimiter(alarmRate, alarmBurst), answerLimiter: rate.NewLimiter(answerRate, answerBurst),
 		lastNewNearPeer: now, started: now, unseenSeeds: make(map[netip.AddrPort]bool),
 	}
@@ -141,7 +141,7 @@
 const maxUnknownPeers = 32
 
 // addAddresses adds peers for addresses that are not yet known.
-func (b *Board) addAddresses(now time.Time, addresses []netip.AddrPort) {
+func (b *PeerTable) addAddresses(now time.Time, addresses []netip.AddrPort) {
 	for _, a := range addresses {
 		if a.IsValid() && a != b.options.Address && b.peers[a] == nil && len(b.unknownPeers()) < maxUnknownPeers {
 			b.peers[a] = &peer{address: a, lastHeard: now}
@@ -151,7 +151,7 @@
 
 // markSeedsSeen removes from unseenSeeds the sender of a heartbeat and the VMs that it has
 // heard.
-func (b *Board) markSeedsSeen(from netip.AddrPort, heard []netip.AddrPort) {
+func (b *PeerTable) markSeedsSeen(from netip.AddrPort, heard []netip.AddrPort) {
 	if len(b.unseenSeeds) == 0 {
 		return
 	}
@@ -163,17 +163,17 @@
 
 // peersByAddress returns the peers that have sent a heartbeat, of the own data centre or
 // of all others, sorted by address.
-func (b *Board) peersByAddress(near bool) []*peer {
+func (b *PeerTable) peersByAddress(near bool) []*peer {
 	return b.filterPeers(func(p *peer) bool { return p.last != nil && (p.last.DataCentre == b.options.DataCentre) == near })
 }
 
 // unknownPeers returns the peers of which only the address is known, sorted by address.
-func (b *Board) unknownPeers() []*peer {
+func (b *PeerTable) unknownPeers() []*peer {
 	return b.filterPeers(func(p *peer) bool { return p.last == nil })
 }
 
 // filterPeers returns the peers that match, sorted by address.
-func (b *Board) filterPeers(match func(*peer) bool) (list []*peer) {
+func (b *PeerTable) filterPeers(match func(*peer) bool) (list []*peer) {
 	for _, p := range b.peers {
 		if match(p) {
 			list = append(list, p)
@@ -184,23 +184,23 @@
 }
 
 // isLive reports whether a heartbeat of the peer was received within its timeout.
-func (b *Board) isLive(now time.Time, p *peer) bool {
+func (b *PeerTable) isLive(now time.Time, p *peer) bool {
 	if p.last == nil {
 		return false
 	}
-	turns, interval := b.nearTurns, b.options.Near
+	turns, interval := b.nearTurns, b.options.NearInterval
 	if p.last.DataCentre != b.options.DataCentre {
-		turns, interval = b.farTurns, b.options.Far
+		turns, interval = b.farTurns, b.options.FarInterval
 	}
 	if turn := p.last.turn(); turn > 0 {
 		turns = int(turn / interval)
 	}
-	return now.Sub(p.lastHeard) < b.options.Silent*time.Duration(max(1, turns))
+	return now.Sub(p.lastHeard) < b.options.PeerTimeout*time.Duration(max(1, turns))
 }
 
 // updateTurns updates the numbers of rounds between two turns. The same numbers are
 // assumed for VMs that do not report theirs.
-func (b *Board) updateTurns() {
+func (b *PeerTable) updateTurns() {
 	near, far := 0, 0
 	for _, p := range b.peers {
 		switch {
@@ -222,7 +222,7 @@
 
 // dropSilentPeers removes VMs that were silent for long. Seeds remain, so that a VM that
 // was partitioned for long finds the others again.
-func (b *Board) dropSilentPeers(now time.Time) {
+func (b *PeerTable) dropSilentPeers(now time.Time) {
 	for address, p := range b.peers {
 		if now.Sub(p.lastHeard) >= b.dropTimeout(p) && !slices.Contains(b.options.Seeds, address) {
 			b.setLoadsCounted(p, false)
@@ -236,16 +236,16 @@
 const unknownTimeout = 5 * time.Second
 
 // dropTimeout returns the silence after which a VM is removed.
-func (b *Board) dropTimeout(p *peer) time.Duration {
+func (b *PeerTable) dropTimeout(p *peer) time.Duration {
 	if p.last == nil {
 		return unknownTimeout
 	}
-	return max(b.options.Forget, minMissedTurns*time.Duration(b.farTurns)*b.options.Far, minMissedTurns*p.last.turn())
+	return max(b.options.RemovalTimeout, minMissedTurns*time.Duration(b.farTurns)*b.options.FarInterval, minMissedTurns*p.last.turn())
 }
 
 // Handle processes a heartbeat. It returns false if the heartbeat is not newer than the
 // latest one of its sender.
-func (b *Board) Handle(now time.Time, from netip.AddrPort, h *Heartbeat) bool {
+func (b *PeerTable) Handle(now time.Time, from netip.AddrPort, h *Heartbeat) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h.From == b.options.Self {
@@ -263,12 +263,12 @@
 	if p.last == nil && h.DataCentre == b.options.DataCentre {
 		b.lastNewNearPeer = now
 	}
-	newLife := p.last == nil || h.Life != p.last.Life
+	newLife := p.last == nil || h.Incarnation != p.last.Incarnation
 	if newLife {
 		p.alarmSequence = 0
 		b.addNewPeer(p)
 	}
-	if newLife || h.Number > p.alarmSequence {
+	if newLife || h.Sequence > p.alarmSequence {
 		b.markReportsChanged(p)
 		p.reports = makeSilenceReports(now, h.Loads)
 	}
@@ -287,7 +287,7 @@
 )
 
 // addNewPeer queues a VM that has started, or is heard for the first time, for an answer.
-func (b *Board) addNewPeer(p *peer) {
+func (b *PeerTable) addNewPeer(p *peer) {
 	if len(b.newPeers) < maxNewPeers && !slices.Contains(b.newPeers, p) {
 		b.newPeers = append(b.newPeers, p)
 	}
@@ -296,7 +296,7 @@
 // isNewer reports whether h is newer than the latest heartbeat of the same address.
 func isNewer(h, last *Heartbeat) bool {
 	if h.From != last.From {
-		return h.Life >= last.Life
+		return h.Incarnation >= last.Incarnation
 	}
-	return h.Life > last.Life || h.Life == last.Life && h.Number > last.Number
+	return h.Incarnation > last.Incarnation || h.Incarnation == last.Incarnation && h.Sequence > last.Sequence
 }
--- a/core/heartbeat/board_test.go
+++ b/core/heartbeat/board_test.go
@@ -25,8 +25,8 @@
 
 // newBoard returns the table of VM n. VMs with odd numbers are in data centre a, those
 // with even numbers in b.
-func newBoard(n int, seeds ...int) *Board {
-	o := Options{Self: baobabstep.VMID(n), DataCentre: dataCentre(n), Address: address(n), Life: 1, Rand: rand.New(rand.NewPCG(1, uint64(n)))}
+func newBoard(n int, seeds ...int) *PeerTable {
+	o := Options{Self: baobabstep.VMID(n), DataCentre: dataCentre(n), Address: address(n), Incarnation: 1, Rand: rand.New(rand.NewPCG(1, uint64(n)))}
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, address(s))
 	}
@@ -36,7 +36,7 @@
 func dataCentre(n int) string { return []string{"b", "a"}[n%2] }
 
 func newHeartbeat(n int, life, number uint64) *Heartbeat {
-	return &Heartbeat{From: baobabstep.VMID(n), DataCentre: dataCentre(n), Life: life, Number: number}
+	return &Heartbeat{From: baobabstep.VMID(n), DataCentre: dataCentre(n), Incarnation: life, Sequence: number}
 }
 
 // Guards against delayed or replayed heartbeats that restore an earlier state of their
@@ -47,7 +47,7 @@
 	for _, old := range []*Heartbeat{newHeartbeat(3, 5, 10), newHeartbeat(3, 5, 9), newHeartbeat(3, 4, 99)} {
 		qt.Assert(t, b.Handle(start.Add(time.Minute), address(3), old), qt.IsFalse)
 	}
-	qt.Assert(t, b.Live(start.Add(time.Minute)), qt.HasLen, 0)
+	qt.Assert(t, b.LiveCounts(start.Add(time.Minute)), qt.HasLen, 0)
 	qt.Assert(t, b.Handle(start, address(3), newHeartbeat(3, 6, 1)), qt.IsTrue)
 }
 
@@ -57,7 +57,7 @@
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	qt.Assert(t, b.Rank(start, false), qt.Equals, Rank{Near: 2, Far: 1})
-	later := start.Add(b.options.Silent)
+	later := start.Add(b.options.PeerTimeout)
 	for _, test := range []struct {
 		name string
 		say  func(h *Heartbeat)
@@ -65,7 +65,7 @@
 	}{
 		{"silent VMs do not count", func(*Heartbeat) {}, Rank{Near: 1}},
 		{"leaving VMs do not count", func(h *Heartbeat) { h.Leaving = true }, Rank{}},
-		{"VMs that cannot read the store do not count", func(h *Heartbeat) { h.Blind = true }, Rank{}},
+		{"VMs that cannot read the store do not count", func(h *Heartbeat) { h.StoreUnreadable = true }, Rank{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHeartbeat(3, 1, b.number+2)
@@ -84,7 +84,7 @@
 	b := newBoard(5)
 	for _, n := range []int{1, 3, 7} {
 		h := newHeartbeat(n, 1, 1)
-		h.Blind = n != 7
+		h.StoreUnreadable = n != 7
 		b.Handle(start, address(n), h)
 	}
 	qt.Assert(t, b.Rank(start, false), qt.Equals, Rank{})
@@ -99,7 +99,7 @@
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	to := func(far bool) (list []netip.AddrPort) {
-		for _, o := range b.Announce(start, Own{}, far) {
+		for _, o := range b.Announce(start, LocalState{}, far) {
 			list = append(list, o.To)
 		}
 		slices.SortFunc(list, netip.AddrPort.Compare)
@@ -111,7 +111,7 @@
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	qt.Assert(t, to(true), qt.HasLen, b.options.AnnounceFanout+1)
-	spread := b.Spread(start, true)
+	spread := b.ChangeRecipients(start, true)
 	qt.Assert(t, spread, qt.HasLen, 30)
 }
 
@@ -122,11 +122,11 @@
 	asked := map[netip.AddrPort]int{}
 	for _, n := range []int{3, 5, 7, 9} {
 		h := newHeartbeat(n, 1, 1)
-		h.Held[Targets] = MakeHeld(revisionOf(10), 77, 0)
+		h.Versions[Targets] = MakeVersionInfo(revisionOf(10), 77, 0)
 		b.Handle(start, address(n), h)
 	}
 	for range 400 {
-		from, ok := b.Newer(start, Targets, revisionOf(9), 66)
+		from, ok := b.FindNewer(start, Targets, revisionOf(9), 66)
 		qt.Assert(t, ok, qt.IsTrue)
 		asked[from]++
 	}
@@ -140,7 +140,7 @@
 	b := newBoard(1)
 	say := func(n int, number, version, sum uint64, age time.Duration) {
 		h := newHeartbeat(n, 1, number)
-		h.Held[Targets] = MakeHeld(revisionOf(version), sum, age)
+		h.Versions[Targets] = MakeVersionInfo(revisionOf(version), sum, age)
 		b.Handle(start, address(n), h)
 	}
 	say(3, 1, 10, 77, 300*time.Millisecond)
@@ -148,38 +148,38 @@
 	say(2, 1, 14, 88, 0) // another data centre
 	later := start.Add(100 * time.Millisecond)
 
-	from, ok := b.Newer(later, Targets, revisionOf(9), 66)
+	from, ok := b.FindNewer(later, Targets, revisionOf(9), 66)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, from, qt.Equals, address(5))
 	t.Run("the same content at a later revision is not newer", func(t *testing.T) {
-		from, ok := b.Newer(later, Targets, revisionOf(10), 77)
+		from, ok := b.FindNewer(later, Targets, revisionOf(10), 77)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, from, qt.Equals, address(2)) // the other content
 	})
 	t.Run("an older version is not returned", func(t *testing.T) {
-		_, ok := b.Newer(later, Targets, revisionOf(14), 66)
+		_, ok := b.FindNewer(later, Targets, revisionOf(14), 66)
 		qt.Assert(t, ok, qt.IsFalse)
 	})
 	t.Run("a later era is newer regardless of the number", func(t *testing.T) {
 		held := baobabstep.Revision{Era: 1, Number: 3}
-		_, ok := b.Newer(later, Targets, held, 66)
+		_, ok := b.FindNewer(later, Targets, held, 66)
 		qt.Assert(t, ok, qt.IsFalse)
 		h := newHeartbeat(5, 1, 2)
-		h.Held[Targets] = MakeHeld(baobabstep.Revision{Era: 2, Number: 1}, 99, 0)
+		h.Versions[Targets] = MakeVersionInfo(baobabstep.Revision{Era: 2, Number: 1}, 99, 0)
 		b.Handle(start, address(5), h)
-		from, ok := b.Newer(later, Targets, held, 66)
+		from, ok := b.FindNewer(later, Targets, held, 66)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, from, qt.Equals, address(5))
 	})
 	t.Run("silent VMs are not returned", func(t *testing.T) {
-		_, ok := b.Newer(start.Add(time.Second), Targets, revisionOf(9), 66)
+		_, ok := b.FindNewer(start.Add(time.Second), Targets, revisionOf(9), 66)
 		qt.Assert(t, ok, qt.IsFalse)
 	})
 }
 
 func TestConfirmedAge(t *testing.T) {
 	h := newHeartbeat(3, 1, 1)
-	h.Held[Targets] = MakeHeld(revisionOf(10), 77, 300*time.Millisecond)
+	h.Versions[Targets] = MakeVersionInfo(revisionOf(10), 77, 300*time.Millisecond)
 	for _, c := range []struct {
 		name string
 		kind Kind
@@ -191,7 +191,7 @@
 		{"a kind that the sender does not hold", Routes, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			age, ok := h.Vouches(c.kind, c.sum)
+			age, ok := h.ConfirmedAge(c.kind, c.sum)
 			qt.Assert(t, ok, qt.Equals, c.want)
 			if ok {
 				qt.Assert(t, age, qt.Equals, 300*time.Millisecond)
@@ -214,11 +214,11 @@
 			for id := range baobabstep.TargetID(4) {
 				if rapid.Bool().Draw(t, "sends") {
 					h.Loads = append(h.Loads, Load{
-						Target: id + 1, Tenths: uint32(rapid.IntRange(0, 50).Draw(t, "tenths")),
+						Target: id + 1, RequestTenths: uint32(rapid.IntRange(0, 50).Draw(t, "tenths")),
 						Unanswered:   uint8(rapid.IntRange(0, 2).Draw(t, "unanswered")),
 						AnswerTenths: uint16(rapid.IntRange(0, 40).Draw(t, "answers")),
 						FailedTenths: uint16(rapid.IntRange(0, 50).Draw(t, "failed")),
-						TookMS:       uint16(rapid.IntRange(0, 90).Draw(t, "took")),
+						LatencyMS:    uint16(rapid.IntRange(0, 90).Draw(t, "took")),
 						Callers:      rapid.Uint16().Draw(t, "callers"),
 					})
 				}
@@ -226,7 +226,7 @@
 			b.Handle(now, address(n), h)
 			if rapid.IntRange(0, 9).Draw(t, "tick") == 0 {
 				now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "s")) * time.Second)
-				b.Tick(now, Own{})
+				b.Tick(now, LocalState{})
 			}
 			got, want := sortSilence(accumulated.apply(b.Loads(now))), sortSilence(summedLoads(b, now))
 			if !maps.EqualFunc(got, want, func(a, b baobabstep.TargetLoad) bool { return reflect.DeepEqual(a, b) }) {
@@ -258,7 +258,7 @@
 }
 
 // summedLoads returns the sums of the latest loads of the live VMs.
-func summedLoads(b *Board, now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
+func summedLoads(b *PeerTable, now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	sums := make(map[baobabstep.TargetID]uint64)
 	answers, failures, times := map[baobabstep.TargetID]int{}, map[baobabstep.TargetID]int{}, map[baobabstep.TargetID]int{}
 	loads := make(map[baobabstep.TargetID]baobabstep.TargetLoad)
@@ -268,17 +268,17 @@
 		}
 		for _, l := range p.last.Loads {
 			near := p.last.DataCentre == b.options.DataCentre
-			if l.Tenths == 0 && l.AnswerTenths == 0 && (!near || l.Unanswered == 0) {
+			if l.RequestTenths == 0 && l.AnswerTenths == 0 && (!near || l.Unanswered == 0) {
 				continue
 			}
-			sums[l.Target] += uint64(l.Tenths)
+			sums[l.Target] += uint64(l.RequestTenths)
 			sum := loads[l.Target]
 			sum.Requests = float64(sums[l.Target]) / tenthsPerRequest
 			if l.AnswerTenths > 0 {
 				failed := min(l.FailedTenths, l.AnswerTenths)
 				answers[l.Target] += int(l.AnswerTenths)
 				failures[l.Target] += int(failed)
-				times[l.Target] += int(l.TookMS) * int(l.AnswerTenths-failed)
+				times[l.Target] += int(l.LatencyMS) * int(l.AnswerTenths-failed)
 				sum.Answers, sum.Failed = float64(answers[l.Target])/tenthsPerRequest, float64(failures[l.Target])/tenthsPerRequest
 				if good := answers[l.Target] - failures[l.Target]; good > 0 {
 					sum.Took = time.Duration(times[l.Target]) * time.Millisecond / time.Duration(good)
@@ -297,7 +297,7 @@
 func TestLoads(t *testing.T) {
 	b := newBoard(1)
 	for n, load := range map[int]Load{
-		2: {Tenths: 15, Unanswered: 9, Opens: 9}, 3: {Tenths: 30, Unanswered: 1, Opens: 1}, 5: {Unanswered: 2, Opens: 1}, 7: {Unanswered: 2},
+		2: {RequestTenths: 15, Unanswered: 9, Opens: 9}, 3: {RequestTenths: 30, Unanswered: 1, Opens: 1}, 5: {Unanswered: 2, Opens: 1}, 7: {Unanswered: 2},
 	} {
 		h := newHeartbeat(n, 1, 1)
 		load.Target = 9
@@ -310,7 +310,7 @@
 		{Unanswered: 1, Opens: 1, LeftAt: start}, {Unanswered: 2, LeftAt: start}, {Unanswered: 2, Opens: 1, LeftAt: start},
 	}})
 	qt.Assert(t, b.Loads(start), qt.HasLen, 0, qt.Commentf("no change since the previous call"))
-	b.Repeat([]baobabstep.TargetID{9})
+	b.MarkLoadsChanged([]baobabstep.TargetID{9})
 	qt.Assert(t, b.Loads(start)[9].Requests, qt.Equals, 4.5)
 	qt.Assert(t, accumulated.apply(b.Loads(start.Add(time.Second))), qt.HasLen, 0)
 }
@@ -342,15 +342,15 @@
 	for n := 3; n < 60; n += 2 {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
-	b.Tick(start, Own{})
-	qt.Assert(t, b.Live(start.Add(3 * b.options.Silent))["a"], qt.Equals, 29)
-	qt.Assert(t, b.Live(start.Add(4 * b.options.Silent))["a"], qt.Equals, 0)
+	b.Tick(start, LocalState{})
+	qt.Assert(t, b.LiveCounts(start.Add(3 * b.options.PeerTimeout))["a"], qt.Equals, 29)
+	qt.Assert(t, b.LiveCounts(start.Add(4 * b.options.PeerTimeout))["a"], qt.Equals, 0)
 }
 
 // Guards against VMs that know only seeds and do not find each other, also when a seed no
 // longer exists.
 func TestDiscovery(t *testing.T) {
-	boards := map[netip.AddrPort]*Board{}
+	boards := map[netip.AddrPort]*PeerTable{}
 	for n := 1; n <= 9; n++ {
 		boards[address(n)] = newBoard(n, 1, 2, 99)
 	}
@@ -358,7 +358,7 @@
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
 		for from, b := range boards {
-			for _, out := range b.Tick(now, Own{}) {
+			for _, out := range b.Tick(now, LocalState{}) {
 				if to := boards[out.To]; to != nil {
 					to.Handle(now, from, out.Message.Heartbeat)
 				}
@@ -366,7 +366,7 @@
 		}
 	}
 	for n := 1; n <= 9; n++ {
-		live := boards[address(n)].Live(now)
+		live := boards[address(n)].LiveCounts(now)
 		qt.Assert(t, live["a"]+live["b"], qt.Equals, 8, qt.Commentf("VM %d: %v", n, live))
 	}
 }
@@ -390,7 +390,7 @@
 func countLostDataCentres(t *testing.T, vms, dataCentres, small int) (lost int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(7, 8))
-	boards := make([]*Board, vms)
+	boards := make([]*PeerTable, vms)
 	phase := make([]time.Duration, vms)
 	at := func(n int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, byte(n >> 8), byte(n)}), 8401)
@@ -405,7 +405,7 @@
 			}
 		}
 		boards[n] = New(start, Options{
-			Self: baobabstep.VMID(n + 1), DataCentre: string(rune('a' + dc)), Address: at(n), Life: 1,
+			Self: baobabstep.VMID(n + 1), DataCentre: string(rune('a' + dc)), Address: at(n), Incarnation: 1,
 			Seeds: []netip.AddrPort{at(0), at(1), at(vms - 1)}, Rand: rand.New(rand.NewPCG(uint64(n), 1)),
 		})
 		phase[n] = time.Duration(random.IntN(100)) * time.Millisecond
@@ -414,12 +414,12 @@
 	for step := range 300 {
 		for n, b := range boards {
 			now := start.Add(time.Duration(step)*100*time.Millisecond + phase[n])
-			if b.Due(now) {
-				for _, out := range b.Tick(now, Own{}) {
+			if b.HeartbeatsDue(now) {
+				for _, out := range b.Tick(now, LocalState{}) {
 					boards[index[out.To]].Handle(now, at(n), out.Message.Heartbeat)
 				}
 			}
-			if step >= 200 && len(b.Live(now)) < dataCentres {
+			if step >= 200 && len(b.LiveCounts(now)) < dataCentres {
 				lost++
 			}
 		}
@@ -437,10 +437,10 @@
 	heard := map[netip.AddrPort]bool{}
 	now := start
 	for range 30 {
-		now = now.Add(b.options.Far)
-		qt.Assert(t, b.Due(now), qt.IsTrue)
-		outs := b.Tick(now, Own{})
-		qt.Assert(t, b.Due(now), qt.IsFalse)
+		now = now.Add(b.options.FarInterval)
+		qt.Assert(t, b.HeartbeatsDue(now), qt.IsTrue)
+		outs := b.Tick(now, LocalState{})
+		qt.Assert(t, b.HeartbeatsDue(now), qt.IsFalse)
 		qt.Assert(t, len(outs) <= b.options.NearFanout+b.options.FarFanout, qt.IsTrue)
 		for _, o := range outs {
 			heard[o.To] = true
@@ -457,7 +457,7 @@
 	for n := 2; n < 8; n++ {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
-	own := Own{Loads: make([]baobabstep.TargetLoad, 2*maxLoads)}
+	own := LocalState{Loads: make([]baobabstep.TargetLoad, 2*maxLoads)}
 	for i := range own.Loads {
 		own.Loads[i] = baobabstep.TargetLoad{Target: baobabstep.TargetID(i + 1), Requests: float64(i + 1)}
 	}
@@ -472,14 +472,14 @@
 }
 
 func TestLargestHeartbeatFits(t *testing.T) {
-	h := &Heartbeat{From: 1<<64 - 1, DataCentre: "a-data-centre-with-a-long-name", Life: 1 << 50, Number: 1 << 40}
+	h := &Heartbeat{From: 1<<64 - 1, DataCentre: "a-data-centre-with-a-long-name", Incarnation: 1 << 50, Sequence: 1 << 40}
 	for range maxPeers {
 		h.Peers = append(h.Peers, netip.MustParseAddrPort("255.255.255.255:65535"))
 	}
-	for kind := range h.Held {
-		h.Held[kind] = Held{Version: 1<<64 - 1, Sum: 1<<64 - 1, AgeMS: maxAgeMS, Era: 1<<64 - 1}
+	for kind := range h.Versions {
+		h.Versions[kind] = VersionInfo{Number: 1<<64 - 1, Checksum: 1<<64 - 1, AgeMS: maxAgeMS, Era: 1<<64 - 1}
 	}
-	h.HeldEvacuations = h.Held[Targets]
+	h.EvacuationsVersion = h.Versions[Targets]
 	var own []baobabstep.TargetLoad
 	for id := range 200 {
 		own = append(own, baobabstep.TargetLoad{Target: baobabstep.TargetID(id) + 1<<39, Requests: 6000, Unanswered: 255, Opens: 255, HeardAt: start.Add(-time.Minute), Disputed: true, Answers: 6000, Failed: 6000, Took: time.Minute})
@@ -499,7 +499,7 @@
 func TestRelayReachesEachOnce(t *testing.T) {
 	for _, vms := range []int{1, 2, 5, 17, 18, 60, 200} {
 		for _, fanout := range []int{minRelayFanout, maxRelayFanout} {
-			boards := make(map[netip.AddrPort]*Board)
+			boards := make(map[netip.AddrPort]*PeerTable)
 			for n := 1; n <= 2*vms; n += 2 { // odd VMs share a data centre
 				b := newBoard(n)
 				for other := 1; other <= 2*vms; other += 2 {
--- a/core/heartbeat/change.go
+++ b/core/heartbeat/change.go
@@ -8,10 +8,10 @@
 	"baobabstep"
 )
 
-// RoutesChange returns the change from one sorted routing table to another. held describes
+// NewRoutesChange returns the change from one sorted routing table to another. held describes
 // the new one.
-func RoutesChange(from, to *baobabstep.RoutingTable, fromSum uint64, held Held) *Change {
-	c := &Change{Kind: Routes, From: fromSum, To: held, Idle: to.IdleTimeout}
+func NewRoutesChange(from, to *baobabstep.RoutingTable, fromSum uint64, held VersionInfo) *Change {
+	c := &Change{Kind: Routes, BaseChecksum: fromSum, Result: held, IdleTimeout: to.IdleTimeout}
 	old := make(map[string]*baobabstep.Rule, len(from.Rules))
 	for i := range from.Rules {
 		old[from.Rules[i].Name] = &from.Rules[i]
@@ -25,7 +25,7 @@
 	}
 	c.RemovedRules = slices.Sorted(maps.Keys(old))
 	if !slices.Equal(from.ColdLimits, to.ColdLimits) {
-		c.ColdChanged, c.ColdLimits = true, makeColdLimits(to.ColdLimits)
+		c.ColdLimitsChanged, c.ColdLimits = true, makeColdLimits(to.ColdLimits)
 	}
 	return c
 }
@@ -34,7 +34,7 @@
 // CodeConflict if from is not the base of the change or the checksum of the result
 // differs; CodeMalformed.
 func (c *Change) ApplyRoutes(from *baobabstep.RoutingTable, fromSum uint64) (*baobabstep.RoutingTable, error) {
-	if from == nil || c.From != fromSum {
+	if from == nil || c.BaseChecksum != fromSum {
 		return nil, conflict("base checksum mismatch in change of routes")
 	}
 	rules := make(map[string]baobabstep.Rule, len(from.Rules))
@@ -51,25 +51,25 @@
 		}
 		rules[r.Name] = r
 	}
-	to := &baobabstep.RoutingTable{Version: c.To.Version, IdleTimeout: c.Idle, Rules: slices.Collect(maps.Values(rules))}
+	to := &baobabstep.RoutingTable{Version: c.Result.Number, IdleTimeout: c.IdleTimeout, Rules: slices.Collect(maps.Values(rules))}
 	SortRules(to.Rules)
 	to.ColdLimits = from.ColdLimits
-	if c.ColdChanged {
+	if c.ColdLimitsChanged {
 		var err error
 		if to.ColdLimits, err = coldLimits(c.ColdLimits); err != nil {
 			return nil, err
 		}
 	}
 	content, err := EncodeRoutes(to)
-	if err != nil || Sum(content) != c.To.Sum {
+	if err != nil || Checksum(content) != c.Result.Checksum {
 		return nil, conflict("checksum mismatch after change of routes")
 	}
 	return to, nil
 }
 
-// TargetsChange returns a change of registrations. held describes the new ones.
-func TargetsChange(d Difference, fromSum uint64, held Held) *Change {
-	c := &Change{Kind: Targets, From: fromSum, To: held, RemovedTargets: d.Gone}
+// NewTargetsChange returns a change of registrations. held describes the new ones.
+func NewTargetsChange(d Difference, fromSum uint64, held VersionInfo) *Change {
+	c := &Change{Kind: Targets, BaseChecksum: fromSum, Result: held, RemovedTargets: d.Removed}
 	for i := range d.Put {
 		c.Targets = append(c.Targets, makeTarget(&d.Put[i]))
 	}
@@ -79,10 +79,10 @@
 // Difference returns the effect of the change on registrations. Errors: CodeConflict if
 // from is not the base of the change or the checksum of the result differs; CodeMalformed.
 func (c *Change) Difference(from *Registrations) (d Difference, err error) {
-	if c.From != from.Sum() {
+	if c.BaseChecksum != from.Checksum() {
 		return d, conflict("base checksum mismatch in change of targets")
 	}
-	d.Gone = c.RemovedTargets
+	d.Removed = c.RemovedTargets
 	for i := range c.Targets {
 		r, err := c.Targets[i].registration()
 		if err != nil {
@@ -90,7 +90,7 @@
 		}
 		d.Put = append(d.Put, r)
 	}
-	if after, err := from.SumAfter(d); err != nil || after != c.To.Sum {
+	if after, err := from.ChecksumAfter(d); err != nil || after != c.Result.Checksum {
 		return d, conflict("checksum mismatch after change of targets")
 	}
 	return d, nil
--- a/core/heartbeat/change_test.go
+++ b/core/heartbeat/change_test.go
@@ -41,7 +41,7 @@
 func checksumOf(t testing.TB, content []byte, err error) uint64 {
 	t.Helper()
 	qt.Assert(t, err, qt.IsNil)
-	return Sum(content)
+	return Checksum(content)
 }
 
 // Guards against changes whose result differs from the new content, and against changes
@@ -52,7 +52,7 @@
 		fromContent, err := EncodeRoutes(from)
 		fromSum := checksumOf(t, fromContent, err)
 		toContent, err := EncodeRoutes(to)
-		c := RoutesChange(from, to, fromSum, MakeHeld(revisionOf(9), checksumOf(t, toContent, err), 0))
+		c := NewRoutesChange(from, to, fromSum, MakeVersionInfo(revisionOf(9), checksumOf(t, toContent, err), 0))
 		got, err := c.ApplyRoutes(from, fromSum)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(to) {
 			rt.Fatalf("got %v, %v, want %v", got, err, to)
@@ -65,9 +65,9 @@
 		}
 		before, after := drawTargets(rt), drawTargets(rt)
 		held, wanted := registrations(t, before), registrations(t, after)
-		d := TargetsChange(held.To(wanted), held.Sum(), MakeHeld(revisionOf(3), wanted.Sum(), 0))
+		d := NewTargetsChange(held.DiffTo(wanted), held.Checksum(), MakeVersionInfo(revisionOf(3), wanted.Checksum(), 0))
 		other := registrations(t, drawTargets(rt))
-		if other.Sum() != held.Sum() {
+		if other.Checksum() != held.Checksum() {
 			if _, err := d.Difference(other); baobabstep.CodeOf(err) != baobabstep.CodeConflict {
 				rt.Fatalf("change of other registrations: got error %v, want CodeConflict", err)
 			}
@@ -76,7 +76,7 @@
 		if err == nil {
 			err = held.Apply(made)
 		}
-		if list := held.List(); err != nil || fmt.Sprint(list) != fmt.Sprint(after) || held.Sum() != wanted.Sum() {
+		if list := held.List(); err != nil || fmt.Sprint(list) != fmt.Sprint(after) || held.Checksum() != wanted.Checksum() {
 			rt.Fatalf("got %v, %v, want %v", list, err, after)
 		}
 	})
@@ -96,8 +96,8 @@
 		{ID: 3, Service: "fixtures", Address: address(3), DataCentre: "a", Slots: 2},
 		{ID: 4, Service: "fixtures", Address: address(4), DataCentre: "a", Slots: 2},
 	}
-	sum := registrations(t, list).Sum()
-	qt.Check(t, registrations(t, []baobabstep.Registration{list[1], list[0]}).Sum(), qt.Equals, sum)
+	sum := registrations(t, list).Checksum()
+	qt.Check(t, registrations(t, []baobabstep.Registration{list[1], list[0]}).Checksum(), qt.Equals, sum)
 	for name, change := range map[string]func(l []baobabstep.Registration) []baobabstep.Registration{
 		"one fewer":           func(l []baobabstep.Registration) []baobabstep.Registration { return l[:1] },
 		"none":                func([]baobabstep.Registration) []baobabstep.Registration { return nil },
@@ -106,8 +106,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			other := registrations(t, change(append([]baobabstep.Registration(nil), list...)))
-			qt.Check(t, other.Sum(), qt.Not(qt.Equals), sum)
-			qt.Check(t, other.Sum(), qt.Not(qt.Equals), uint64(0))
+			qt.Check(t, other.Checksum(), qt.Not(qt.Equals), sum)
+			qt.Check(t, other.Checksum(), qt.Not(qt.Equals), uint64(0))
 		})
 	}
 }
@@ -115,12 +115,12 @@
 // Guards against registrations that are modified by a change with an incorrect checksum.
 func TestChangeWithWrongChecksum(t *testing.T) {
 	held := registrations(t, []baobabstep.Registration{{ID: 3, Service: "s", Address: address(3), Slots: 2}})
-	sum := held.Sum()
-	c := TargetsChange(Difference{Gone: []baobabstep.TargetID{3}}, sum, MakeHeld(revisionOf(2), sum+1, 0))
+	sum := held.Checksum()
+	c := NewTargetsChange(Difference{Removed: []baobabstep.TargetID{3}}, sum, MakeVersionInfo(revisionOf(2), sum+1, 0))
 	_, err := c.Difference(held)
 	qt.Check(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeConflict)
 	qt.Check(t, held.Len(), qt.Equals, 1)
-	qt.Check(t, held.Sum(), qt.Equals, sum)
+	qt.Check(t, held.Checksum(), qt.Equals, sum)
 }
 
 func TestChangeOfOneTargetIsSmall(t *testing.T) {
@@ -133,7 +133,7 @@
 	content, err := EncodeTargets(to)
 	qt.Assert(t, err, qt.IsNil)
 	before, after := registrations(t, from), registrations(t, to)
-	raw, err := Encode(&Message{Change: TargetsChange(before.To(after), before.Sum(), MakeHeld(revisionOf(2), after.Sum(), 0))})
+	raw, err := Encode(&Message{Change: NewTargetsChange(before.DiffTo(after), before.Checksum(), MakeVersionInfo(revisionOf(2), after.Checksum(), 0))})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(raw) < 150 && len(content) > 5000, qt.IsTrue, qt.Commentf("%d of %d bytes", len(raw), len(content)))
 }
@@ -155,11 +155,11 @@
 		decoded, err := DecodeRoutes(content)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, decoded.ColdLimits, qt.DeepEquals, to.ColdLimits)
-		raw, err := Encode(&Message{Change: RoutesChange(from, to, Sum(oldContent), MakeHeld(revisionOf(to.Version), Sum(content), 0))})
+		raw, err := Encode(&Message{Change: NewRoutesChange(from, to, Checksum(oldContent), MakeVersionInfo(revisionOf(to.Version), Checksum(content), 0))})
 		qt.Assert(t, err, qt.IsNil)
 		m, err := Decode(raw)
 		qt.Assert(t, err, qt.IsNil)
-		got, err := m.Change.ApplyRoutes(from, Sum(oldContent))
+		got, err := m.Change.ApplyRoutes(from, Checksum(oldContent))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got.ColdLimits, qt.DeepEquals, to.ColdLimits)
 		return got
--- a/core/heartbeat/doc.go
+++ b/core/heartbeat/doc.go
@@ -24,18 +24,18 @@
 //   - A [Change] is the difference between two versions of the routing table or
 //     the registrations. The VM that reads it from the store sends it to one VM
 //     of each other data centre, and within a data centre it is relayed along a
-//     tree ([Board.RelayPeers]). One that exceeds MaxMessage is sent in
+//     tree ([PeerTable.RelayPeers]). One that exceeds MaxMessage is sent in
 //     fragments ([EncodeDatagrams]); one too large for that is only announced
 //     by heartbeats.
 //   - A VM that learns of a newer version from a heartbeat requests it from a VM
-//     that holds it ([Want]). For registrations the response is the changes
+//     that holds it ([Request]). For registrations the response is the changes
 //     since the requester's revision if the [History] reaches back that far and
 //     they fit the limit on fragments.
 //   - Otherwise the response is a limited number of sections ([Section]) of the
 //     buckets whose digests differ from those in the request. The requester asks
 //     for the remaining ones, possibly from another VM.
-//   - A requested routing table is sent completely, in chunks ([Split],
-//     [Assembly]). So are registrations if sections cannot be used.
+//   - A requested routing table is sent completely, in chunks ([SplitChunks],
+//     [ChunkAssembly]). So are registrations if sections cannot be used.
 //   - The list of evacuated data centres is sent completely, in one message
 //     ([EvacuationList]).
 //
--- a/core/heartbeat/evacuation.go
+++ b/core/heartbeat/evacuation.go
@@ -8,25 +8,25 @@
 // EvacuationList lists all evacuated data centres, which get no new flows. It is always
 // sent completely, because it is short and operators expect it to take effect at once.
 type EvacuationList struct {
-	Held        Held     `cbor:"1,keyasint"`
-	DataCentres []string `cbor:"2,keyasint,omitempty"`
+	VersionInfo VersionInfo `cbor:"1,keyasint"`
+	DataCentres []string    `cbor:"2,keyasint,omitempty"`
 }
 
 // NewEvacuationList returns a list of data centres, which must be sorted. Errors:
 // CodeTooLarge.
-func NewEvacuationList(held Held, dataCentres []string) (*EvacuationList, error) {
+func NewEvacuationList(held VersionInfo, dataCentres []string) (*EvacuationList, error) {
 	if len(dataCentres) > maxEvacuatedDataCentres {
 		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "heartbeat.evacuations", "got %d data centres, want at most %d", len(dataCentres), maxEvacuatedDataCentres)
 	}
-	return &EvacuationList{Held: held, DataCentres: dataCentres}, nil
+	return &EvacuationList{VersionInfo: held, DataCentres: dataCentres}, nil
 }
 
-// EvacuationsSum returns the checksum of sorted data centres. Errors: CodeInternal.
-func EvacuationsSum(dataCentres []string) (uint64, error) {
+// EvacuationsChecksum returns the checksum of sorted data centres. Errors: CodeInternal.
+func EvacuationsChecksum(dataCentres []string) (uint64, error) {
 	list := append([]string{}, dataCentres...) // nil and an empty slice are encoded differently
 	content, err := encMode.Marshal(list)
 	if err != nil {
 		return 0, baobabstep.Errorf(baobabstep.CodeInternal, "heartbeat.evacuations", "%w", err)
 	}
-	return Sum(content), nil
+	return Checksum(content), nil
 }
--- a/core/heartbeat/fanout.go
+++ b/core/heartbeat/fanout.go
@@ -31,7 +31,7 @@
 
 // computeFanouts returns the fan-outs for the given loads. In a large data centre with
 // little traffic, heartbeats at full fan-out would outnumber the requests.
-func (b *Board) computeFanouts(now time.Time, loads []baobabstep.TargetLoad) fanouts {
+func (b *PeerTable) computeFanouts(now time.Time, loads []baobabstep.TargetLoad) fanouts {
 	full := fanouts{near: b.options.NearFanout, far: b.options.FarFanout}
 	requests := 0.0
 	for i := range loads {
--- a/core/heartbeat/fanout_test.go
+++ b/core/heartbeat/fanout_test.go
@@ -13,7 +13,7 @@
 
 // countNearHeartbeats returns the number of heartbeats that VM 9 sends within its data
 // centre in ten seconds, after its startup period, with the given number of other VMs.
-func countNearHeartbeats(vms int, own Own) (sent int, b *Board) {
+func countNearHeartbeats(vms int, own LocalState) (sent int, b *PeerTable) {
 	b = newBoard(9)
 	now := start.Add(time.Minute)
 	for n := range vms {
@@ -25,7 +25,7 @@
 	}
 	b.Tick(now, own)
 	for range 50 {
-		now = now.Add(b.options.Near)
+		now = now.Add(b.options.NearInterval)
 		for _, out := range b.Tick(now, own) {
 			if b.IsNear(out.To) {
 				sent++
@@ -35,8 +35,8 @@
 	return sent, b
 }
 
-func ownWithRequests(requests float64) Own {
-	return Own{Loads: []baobabstep.TargetLoad{{Target: 1, Requests: requests}}}
+func ownWithRequests(requests float64) LocalState {
+	return LocalState{Loads: []baobabstep.TargetLoad{{Target: 1, Requests: requests}}}
 }
 
 // Guards against idle VMs of a large data centre sending heartbeats at full fan-out.
@@ -64,15 +64,15 @@
 	h := b.Tick(start.Add(71*time.Second), ownWithRequests(0))[0].Message.Heartbeat
 	qt.Assert(t, h.TurnMS, qt.Equals, uint32(12000))
 	other.Handle(start, address(9), h)
-	qt.Assert(t, other.Live(start.Add(20 * time.Second))["a"], qt.Equals, 1)
-	qt.Assert(t, other.Live(start.Add(50 * time.Second))["a"], qt.Equals, 0)
+	qt.Assert(t, other.LiveCounts(start.Add(20 * time.Second))["a"], qt.Equals, 1)
+	qt.Assert(t, other.LiveCounts(start.Add(50 * time.Second))["a"], qt.Equals, 0)
 }
 
 // Guards against a VM receiving the heartbeats of its whole data centre in one round, and
 // then none for seconds.
 func TestTurnsAreSpread(t *testing.T) {
 	const vms = 60
-	boards := make([]*Board, vms)
+	boards := make([]*PeerTable, vms)
 	for i := range boards {
 		boards[i] = newBoard(2*i + 1)
 		for j := range boards {
@@ -80,14 +80,14 @@
 				boards[i].Handle(start, address(2*j+1), newHeartbeat(2*j+1, 1, 1))
 			}
 		}
-		boards[i].Tick(start, Own{})
+		boards[i].Tick(start, LocalState{})
 	}
 	now := start
 	for range 20 {
 		now = now.Add(200 * time.Millisecond)
 		received := map[netip.AddrPort]int{}
 		for _, b := range boards {
-			for _, out := range b.Tick(now, Own{}) {
+			for _, out := range b.Tick(now, LocalState{}) {
 				received[out.To]++
 			}
 		}
@@ -104,12 +104,12 @@
 	for n := 3; n < 120; n += 2 {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
-	b.Tick(start, Own{})
+	b.Tick(start, LocalState{})
 	for _, newPeer := range []int{121, 122} { // own data centre, other data centre
 		b.Handle(start, address(newPeer), newHeartbeat(newPeer, 1, 1))
 	}
 	answered := map[netip.AddrPort]bool{}
-	for _, out := range b.Tick(start.Add(b.options.Near), Own{}) {
+	for _, out := range b.Tick(start.Add(b.options.NearInterval), LocalState{}) {
 		answered[out.To] = true
 	}
 	qt.Assert(t, answered[address(121)] && answered[address(122)], qt.IsTrue)
@@ -124,11 +124,11 @@
 	}
 	now, heard := start, map[netip.AddrPort]bool{}
 	for range 40 {
-		now = now.Add(b.options.Near)
+		now = now.Add(b.options.NearInterval)
 		for n := 3; n < 35; n += 2 {
 			b.Handle(now, address(n), newHeartbeat(n, 1, uint64(now.Sub(start))))
 		}
-		for _, out := range b.Tick(now, Own{}) {
+		for _, out := range b.Tick(now, LocalState{}) {
 			heard[out.To] = true
 		}
 	}
--- a/core/heartbeat/fragment.go
+++ b/core/heartbeat/fragment.go
@@ -23,11 +23,11 @@
 
 // Fragment is one part of an encoded message that exceeds MaxMessage.
 type Fragment struct {
-	// Check is the checksum of the complete encoded message.
-	Check uint64 `cbor:"1,keyasint"`
-	Index uint16 `cbor:"2,keyasint,omitempty"`
-	Count uint16 `cbor:"3,keyasint"`
-	Data  []byte `cbor:"4,keyasint"`
+	// MessageChecksum is the checksum of the complete encoded message.
+	MessageChecksum uint64 `cbor:"1,keyasint"`
+	Index           uint16 `cbor:"2,keyasint,omitempty"`
+	Count           uint16 `cbor:"3,keyasint"`
+	Data            []byte `cbor:"4,keyasint"`
 }
 
 // EncodeDatagrams encodes a message as a single datagram, or as fragments if it exceeds
@@ -44,11 +44,11 @@
 	if count > maxFragments {
 		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "heartbeat.encode", "got %d bytes, want at most %d", len(encoded), maxFragments*fragmentBytes)
 	}
-	check := Sum(encoded)
+	check := Checksum(encoded)
 	datagrams := make([][]byte, 0, count)
 	for i := range count {
 		data := encoded[i*fragmentBytes : min((i+1)*fragmentBytes, len(encoded))]
-		b, err := Encode(&Message{Fragment: &Fragment{Check: check, Index: uint16(i), Count: uint16(count), Data: data}})
+		b, err := Encode(&Message{Fragment: &Fragment{MessageChecksum: check, Index: uint16(i), Count: uint16(count), Data: data}})
 		if err != nil {
 			return nil, err
 		}
@@ -78,7 +78,7 @@
 // Add adds a fragment. It returns the message once all fragments have arrived, and nil
 // before. Errors: as for Decode.
 func (a *FragmentAssembly) Add(now time.Time, from netip.AddrPort, f *Fragment) (*Message, error) {
-	key := fragmentKey{from: from, check: f.Check}
+	key := fragmentKey{from: from, check: f.MessageChecksum}
 	u := a.unfinished[key]
 	if u == nil || len(u.parts) != int(f.Count) {
 		u = a.begin(now, key, int(f.Count))
@@ -96,7 +96,7 @@
 	for _, part := range u.parts {
 		encoded = append(encoded, part...)
 	}
-	if Sum(encoded) != f.Check {
+	if Checksum(encoded) != f.MessageChecksum {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.fragments", "checksum mismatch in reassembled message")
 	}
 	m, err := unmarshal(largeDecMode, encoded)
--- a/core/heartbeat/fragment_test.go
+++ b/core/heartbeat/fragment_test.go
@@ -15,7 +15,7 @@
 	for id := first; id < first+300; id++ {
 		d.Put = append(d.Put, registrationOf(id))
 	}
-	return &Message{Change: TargetsChange(d, 1, MakeHeld(revisionOf(2), 3, 0))}
+	return &Message{Change: NewTargetsChange(d, 1, MakeVersionInfo(revisionOf(2), 3, 0))}
 }
 
 func encodeFragments(t *testing.T, m *Message) (list []*Fragment) {
@@ -60,14 +60,14 @@
 func TestInvalidFragments(t *testing.T) {
 	t.Run("checksum mismatch", func(t *testing.T) {
 		var a FragmentAssembly
-		_, err := a.Add(start, address(2), &Fragment{Check: 1, Count: 1, Data: []byte("x")})
+		_, err := a.Add(start, address(2), &Fragment{MessageChecksum: 1, Count: 1, Data: []byte("x")})
 		qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeMalformed)
 	})
 	t.Run("nested fragment", func(t *testing.T) {
 		raw, err := Encode(&Message{Fragment: &Fragment{Count: 1}})
 		qt.Assert(t, err, qt.IsNil)
 		var a FragmentAssembly
-		_, err = a.Add(start, address(2), &Fragment{Check: Sum(raw), Count: 1, Data: raw})
+		_, err = a.Add(start, address(2), &Fragment{MessageChecksum: Checksum(raw), Count: 1, Data: raw})
 		qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeMalformed)
 	})
 	t.Run("too large", func(t *testing.T) {
@@ -75,7 +75,7 @@
 		for id := baobabstep.TargetID(1); id < 20000; id++ {
 			d.Put = append(d.Put, registrationOf(id))
 		}
-		_, err := EncodeDatagrams(&Message{Change: TargetsChange(d, 1, MakeHeld(revisionOf(2), 3, 0))})
+		_, err := EncodeDatagrams(&Message{Change: NewTargetsChange(d, 1, MakeVersionInfo(revisionOf(2), 3, 0))})
 		qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeTooLarge)
 	})
 }
@@ -84,11 +84,11 @@
 func TestUnfinishedMessagesAreBounded(t *testing.T) {
 	var a FragmentAssembly
 	for i := range 5 * maxUnfinishedMessages {
-		_, err := a.Add(start.Add(time.Duration(i)*time.Millisecond), address(2), &Fragment{Check: uint64(i), Count: 9})
+		_, err := a.Add(start.Add(time.Duration(i)*time.Millisecond), address(2), &Fragment{MessageChecksum: uint64(i), Count: 9})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, len(a.unfinished) <= maxUnfinishedMessages, qt.IsTrue)
 	}
-	_, err := a.Add(start.Add(time.Minute), address(2), &Fragment{Check: 1e6, Count: 9})
+	_, err := a.Add(start.Add(time.Minute), address(2), &Fragment{MessageChecksum: 1e6, Count: 9})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, a.unfinished, qt.HasLen, 1)
 }
--- a/core/heartbeat/history.go
+++ b/core/heartbeat/history.go
@@ -23,7 +23,7 @@
 	Difference
 }
 
-func (s *historyChange) size() int { return len(s.Put) + len(s.Gone) }
+func (s *historyChange) size() int { return len(s.Put) + len(s.Removed) }
 
 // Add appends the difference between two revisions. It clears the history first if from is
 // not the latest recorded revision. It clears the history without adding anything if to
@@ -46,8 +46,8 @@
 	h.changes = slices.Delete(h.changes, 0, drop)
 }
 
-// Move advances the latest recorded revision without a change of registrations.
-func (h *History) Move(to baobabstep.Revision) {
+// Advance advances the latest recorded revision without a change of registrations.
+func (h *History) Advance(to baobabstep.Revision) {
 	n := len(h.changes)
 	switch {
 	case n == 0:
@@ -74,18 +74,18 @@
 		for j := range s.Put {
 			last[s.Put[j].ID] = &s.Put[j]
 		}
-		for _, id := range s.Gone {
+		for _, id := range s.Removed {
 			last[id] = nil
 		}
 	}
 	for id, r := range last {
 		if r == nil {
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		} else {
 			d.Put = append(d.Put, *r)
 		}
 	}
 	SortTargets(d.Put)
-	slices.Sort(d.Gone)
+	slices.Sort(d.Removed)
 	return d, true
 }
--- a/core/heartbeat/history_test.go
+++ b/core/heartbeat/history_test.go
@@ -14,7 +14,7 @@
 func TestHistorySince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h History
-		current := NoRegistrations()
+		current := EmptyRegistrations()
 		var past []*Registrations
 		revision := func(i int) baobabstep.Revision { return revisionOf(uint64(i + 1)) }
 		snapshot := func() *Registrations {
@@ -34,7 +34,7 @@
 					r.Slots = rapid.IntRange(1, 3).Draw(t, "slots")
 					d.Put = append(d.Put, r)
 				case 1:
-					d.Gone = append(d.Gone, id)
+					d.Removed = append(d.Removed, id)
 				}
 			}
 			if err := current.Apply(d); err != nil {
@@ -48,7 +48,7 @@
 		if err := past[from].Apply(d); !ok || err != nil {
 			t.Fatalf("changes since revision %d: got ok %v, error %v", from, ok, err)
 		}
-		if got, want := past[from].Sum(), current.Sum(); got != want {
+		if got, want := past[from].Checksum(), current.Checksum(); got != want {
 			t.Fatalf("got sum %x, want %x", got, want)
 		}
 	})
@@ -57,14 +57,14 @@
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	for i := range uint64(3 * maxHistory) {
-		h.Add(revisionOf(i+1), revisionOf(i+2), Difference{Gone: []baobabstep.TargetID{baobabstep.TargetID(i + 1)}})
+		h.Add(revisionOf(i+1), revisionOf(i+2), Difference{Removed: []baobabstep.TargetID{baobabstep.TargetID(i + 1)}})
 	}
 	qt.Assert(t, len(h.changes), qt.Equals, maxHistory)
 	_, ok := h.Since(revisionOf(2 * maxHistory))
 	qt.Assert(t, ok, qt.IsFalse)
 	d, ok := h.Since(revisionOf(3*maxHistory - 1))
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, d.Gone, qt.HasLen, 2)
+	qt.Assert(t, d.Removed, qt.HasLen, 2)
 	h.Add(revisionOf(99999), revisionOf(100000), Difference{})
 	_, ok = h.Since(revisionOf(3 * maxHistory))
 	qt.Assert(t, ok, qt.IsFalse, qt.Commentf("gap between revisions"))
@@ -78,12 +78,12 @@
 // of it has announced.
 func TestHistoryIsClearedWhenRevisionsGoBack(t *testing.T) {
 	var h History
-	h.Add(revisionOf(400), revisionOf(500), Difference{Gone: []baobabstep.TargetID{1}})
-	h.Add(revisionOf(500), revisionOf(450), Difference{Gone: []baobabstep.TargetID{2}})
-	h.Add(revisionOf(450), revisionOf(470), Difference{Gone: []baobabstep.TargetID{3}})
+	h.Add(revisionOf(400), revisionOf(500), Difference{Removed: []baobabstep.TargetID{1}})
+	h.Add(revisionOf(500), revisionOf(450), Difference{Removed: []baobabstep.TargetID{2}})
+	h.Add(revisionOf(450), revisionOf(470), Difference{Removed: []baobabstep.TargetID{3}})
 	d, ok := h.Since(revisionOf(460))
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, d.Gone, qt.DeepEquals, []baobabstep.TargetID{3})
+	qt.Assert(t, d.Removed, qt.DeepEquals, []baobabstep.TargetID{3})
 	_, ok = h.Since(revisionOf(430))
 	qt.Assert(t, ok, qt.IsFalse)
 }
--- a/core/heartbeat/load.go
+++ b/core/heartbeat/load.go
@@ -31,13 +31,13 @@
 	for _, l := range loads {
 		sum := t[l.Target]
 		if sum == nil {
-			if l.Tenths == 0 && l.AnswerTenths == 0 {
+			if l.RequestTenths == 0 && l.AnswerTenths == 0 {
 				continue
 			}
 			sum = new(targetSum)
 			t[l.Target] = sum
 		}
-		sum.tenths += uint64(l.Tenths)
+		sum.tenths += uint64(l.RequestTenths)
 		if l.AnswerTenths > 0 {
 			sum.addAnswers(&l)
 		}
@@ -50,7 +50,7 @@
 		if sum == nil {
 			continue
 		}
-		sum.tenths -= uint64(l.Tenths)
+		sum.tenths -= uint64(l.RequestTenths)
 		if l.AnswerTenths > 0 {
 			sum.removeAnswers(&l)
 		}
@@ -85,7 +85,7 @@
 // latencyTenths returns the sum of the response times of the answers that did not fail, in
 // tenths times milliseconds.
 func (l *Load) latencyTenths() uint64 {
-	return uint64(l.TookMS) * (uint64(l.AnswerTenths) - l.failedTenths())
+	return uint64(l.LatencyMS) * (uint64(l.AnswerTenths) - l.failedTenths())
 }
 
 // load returns the sum in the form that the router uses.
@@ -107,7 +107,7 @@
 }
 
 // setLoadsCounted adds the loads of a peer to loadSums, or removes them.
-func (b *Board) setLoadsCounted(p *peer, counted bool) {
+func (b *PeerTable) setLoadsCounted(p *peer, counted bool) {
 	switch {
 	case p.loadsCounted == counted:
 		return
@@ -124,7 +124,7 @@
 }
 
 // markReportsChanged marks the targets in a peer's reports as changed.
-func (b *Board) markReportsChanged(p *peer) {
+func (b *PeerTable) markReportsChanged(p *peer) {
 	for id := range p.reports {
 		b.changedTargets[id] = struct{}{}
 	}
@@ -134,8 +134,8 @@
 
 func (l Load) hasSilence() bool { return l.Unanswered > 0 || l.Opens > 0 || l.HeardMS > 0 }
 
-// Repeat marks targets as changed, so that the next call of Loads includes them.
-func (b *Board) Repeat(targets []baobabstep.TargetID) {
+// MarkLoadsChanged marks targets as changed, so that the next call of Loads includes them.
+func (b *PeerTable) MarkLoadsChanged(targets []baobabstep.TargetID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, id := range targets {
@@ -148,7 +148,7 @@
 // reports of those of the own data centre. A target that is silent for VMs of other data
 // centres may only be unreachable from there. The value is zero for a target that no VM
 // reports any more.
-func (b *Board) Loads(now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
+func (b *PeerTable) Loads(now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.peers {
@@ -199,28 +199,28 @@
 	loads := make(Loads, 0, len(own))
 	for _, l := range own {
 		load := Load{
-			Target: l.Target, Tenths: uint32(l.Requests * tenthsPerRequest),
+			Target: l.Target, RequestTenths: uint32(l.Requests * tenthsPerRequest),
 			Unanswered: sentCount(l.Unanswered), Opens: sentCount(l.Opens), Vanished: sentCount(l.Vanished),
 		}
 		if l.Disputed && !l.HeardAt.IsZero() {
 			load.HeardMS = uint16(min(max(1, now.Sub(l.HeardAt).Milliseconds()), maxHeardMS))
 		}
 		if load.Unanswered > 0 {
-			load.LeftMS = uint16(min(max(0, now.Sub(l.LeftAt).Milliseconds()), maxLeftMS))
+			load.LastUnansweredMS = uint16(min(max(0, now.Sub(l.LeftAt).Milliseconds()), maxLeftMS))
 		}
 		if l.Answers > 0 {
 			load.AnswerTenths, load.FailedTenths = toTenths(l.Answers), toTenths(min(l.Failed, l.Answers))
-			load.TookMS = uint16(min(l.Took.Milliseconds(), math.MaxUint16))
+			load.LatencyMS = uint16(min(l.Took.Milliseconds(), math.MaxUint16))
 			load.Callers = l.Callers
 		}
-		if load.Tenths > 0 || load.hasDetails() {
+		if load.RequestTenths > 0 || load.hasDetails() {
 			loads = append(loads, load)
 		}
 	}
 	slices.SortFunc(loads, func(a, b Load) int {
 		return cmp.Or(
 			cmp.Compare(b.Unanswered, a.Unanswered), cmp.Compare(b.HeardMS, a.HeardMS), cmp.Compare(b.FailedTenths, a.FailedTenths),
-			cmp.Compare(b.AnswerTenths, a.AnswerTenths), cmp.Compare(b.Tenths, a.Tenths), cmp.Compare(a.Target, b.Target),
+			cmp.Compare(b.AnswerTenths, a.AnswerTenths), cmp.Compare(b.RequestTenths, a.RequestTenths), cmp.Compare(a.Target, b.Target),
 		)
 	})
 	loads = loads[:min(len(loads), limit)]
@@ -261,7 +261,7 @@
 		}
 		b = binary.AppendUvarint(b, uint64(load.Target-last))
 		last = load.Target
-		doubled := uint64(load.Tenths) << 1
+		doubled := uint64(load.RequestTenths) << 1
 		if !load.hasDetails() {
 			b = binary.AppendUvarint(b, doubled)
 			continue
@@ -293,13 +293,13 @@
 
 // details returns the values of the details in their order on the wire.
 func (l Load) details() [numDetails]uint16 {
-	return [...]uint16{uint16(l.Unanswered), uint16(l.Opens), l.HeardMS, l.AnswerTenths, l.FailedTenths, l.TookMS, l.Callers, l.LeftMS, uint16(l.Vanished)}
+	return [...]uint16{uint16(l.Unanswered), uint16(l.Opens), l.HeardMS, l.AnswerTenths, l.FailedTenths, l.LatencyMS, l.Callers, l.LastUnansweredMS, uint16(l.Vanished)}
 }
 
 // setDetails sets the values of the details, given in their order on the wire.
 func (l *Load) setDetails(v [numDetails]uint16) {
 	l.Unanswered, l.Opens, l.Vanished = uint8(min(v[0], maxCount)), uint8(min(v[1], maxCount)), uint8(min(v[8], maxCount))
-	l.HeardMS, l.AnswerTenths, l.FailedTenths, l.TookMS, l.Callers, l.LeftMS = v[2], v[3], v[4], v[5], v[6], v[7]
+	l.HeardMS, l.AnswerTenths, l.FailedTenths, l.LatencyMS, l.Callers, l.LastUnansweredMS = v[2], v[3], v[4], v[5], v[6], v[7]
 }
 
 // UnmarshalBinary implements [encoding.BinaryUnmarshaler]. Errors: CodeMalformed.
@@ -338,7 +338,7 @@
 		return load, nil, malformedLoads("%d bytes without a valid number of requests", len(b))
 	}
 	b = b[n:]
-	load.Target, load.Tenths = baobabstep.TargetID(distance), uint32(doubled>>1)
+	load.Target, load.RequestTenths = baobabstep.TargetID(distance), uint32(doubled>>1)
 	if doubled&1 == 0 {
 		return load, b, nil
 	}
--- a/core/heartbeat/load_test.go
+++ b/core/heartbeat/load_test.go
@@ -15,15 +15,15 @@
 		var want Loads
 		for _, id := range ids {
 			want = append(want, Load{
-				Target: baobabstep.TargetID(id), Tenths: rapid.Uint32().Draw(t, "tenths"),
+				Target: baobabstep.TargetID(id), RequestTenths: rapid.Uint32().Draw(t, "tenths"),
 				Unanswered: rapid.Uint8().Draw(t, "unanswered"), Opens: rapid.Uint8().Draw(t, "opens"),
 				HeardMS: rapid.Uint16().Draw(t, "heard"), AnswerTenths: rapid.Uint16().Draw(t, "answers"),
 			})
 			if l := &want[len(want)-1]; l.Unanswered > 0 {
-				l.LeftMS, l.Vanished = rapid.Uint16().Draw(t, "left"), rapid.Uint8().Draw(t, "vanished")
+				l.LastUnansweredMS, l.Vanished = rapid.Uint16().Draw(t, "left"), rapid.Uint8().Draw(t, "vanished")
 			}
 			if l := &want[len(want)-1]; l.AnswerTenths > 0 {
-				l.FailedTenths, l.TookMS = rapid.Uint16().Draw(t, "failed"), rapid.Uint16().Draw(t, "took")
+				l.FailedTenths, l.LatencyMS = rapid.Uint16().Draw(t, "failed"), rapid.Uint16().Draw(t, "took")
 			}
 		}
 		sortLoads(want)
@@ -49,7 +49,7 @@
 // Guards against panics on malformed loads from a peer of another version, and against
 // accepting them.
 func TestMalformedLoads(t *testing.T) {
-	good, err := Loads{{Target: 300, Tenths: 7, Unanswered: 1, HeardMS: 9}}.MarshalBinary()
+	good, err := Loads{{Target: 300, RequestTenths: 7, Unanswered: 1, HeardMS: 9}}.MarshalBinary()
 	qt.Assert(t, err, qt.IsNil)
 	many := make(Loads, maxLoads)
 	for i := range many {
@@ -89,7 +89,7 @@
 func TestLoadsEncodingIsCompact(t *testing.T) {
 	list := make(Loads, maxLoads)
 	for i := range list {
-		list[i] = Load{Target: baobabstep.TargetID(i+1) * 19_991_234_567, Tenths: 150}
+		list[i] = Load{Target: baobabstep.TargetID(i+1) * 19_991_234_567, RequestTenths: 150}
 	}
 	raw, err := list.MarshalBinary()
 	qt.Assert(t, err, qt.IsNil)
--- a/core/heartbeat/message.go
+++ b/core/heartbeat/message.go
@@ -38,8 +38,8 @@
 	// Version is the sender's formatVersion, set by Encode.
 	Version   uint8      `cbor:"1,keyasint"`
 	Heartbeat *Heartbeat `cbor:"2,keyasint,omitempty"`
-	Want      *Want      `cbor:"3,keyasint,omitempty"`
-	Piece     *Piece     `cbor:"4,keyasint,omitempty"`
+	Request   *Request   `cbor:"3,keyasint,omitempty"`
+	Chunk     *Chunk     `cbor:"4,keyasint,omitempty"`
 	Change    *Change    `cbor:"5,keyasint,omitempty"`
 	Alarm     *Alarm     `cbor:"6,keyasint,omitempty"`
 	// Evacuations is the complete list of the sender.
@@ -52,22 +52,22 @@
 type Heartbeat struct {
 	From       baobabstep.VMID `cbor:"1,keyasint"`
 	DataCentre string          `cbor:"2,keyasint"`
-	// Life is the incarnation number of the VM: its start time by its own clock, in
+	// Incarnation is the incarnation number of the VM: its start time by its own clock, in
 	// milliseconds. Number is the sequence number within the incarnation.
-	Life   uint64 `cbor:"3,keyasint"`
-	Number uint64 `cbor:"4,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"`
+	Sequence    uint64 `cbor:"4,keyasint"`
 	// Leaving is set once the VM has begun a planned stop.
 	Leaving bool `cbor:"5,keyasint,omitempty"`
-	// Blind is set while the sender cannot read the store.
-	Blind bool `cbor:"6,keyasint,omitempty"`
-	// Held are the sender's versions of Routes and Targets.
-	Held  [chunkedKinds]Held `cbor:"7,keyasint"`
-	Loads Loads              `cbor:"8,keyasint"`
+	// StoreUnreadable is set while the sender cannot read the store.
+	StoreUnreadable bool `cbor:"6,keyasint,omitempty"`
+	// Versions are the sender's versions of Routes and Targets.
+	Versions [chunkedKinds]VersionInfo `cbor:"7,keyasint"`
+	Loads    Loads                     `cbor:"8,keyasint"`
 	// Peers are some VMs from which the sender receives heartbeats.
 	Peers []netip.AddrPort `cbor:"9,keyasint,omitempty"`
-	// HeldEvacuations is the sender's version of Evacuations. The version number is 0 if
+	// EvacuationsVersion is the sender's version of Evacuations. The version number is 0 if
 	// the sender does not support that kind.
-	HeldEvacuations Held `cbor:"10,keyasint,omitzero"`
+	EvacuationsVersion VersionInfo `cbor:"10,keyasint,omitzero"`
 	// TurnMS is the time in milliseconds in which the sender sends one heartbeat to each
 	// VM of its data centre or, for a receiver elsewhere, of all others; 0 if not set.
 	TurnMS uint32 `cbor:"11,keyasint,omitempty"`
@@ -81,12 +81,12 @@
 	return min(time.Duration(h.TurnMS)*time.Millisecond, maxTurn)
 }
 
-// HeldOf returns the sender's version of a kind.
-func (h *Heartbeat) HeldOf(kind Kind) Held {
+// VersionOf returns the sender's version of a kind.
+func (h *Heartbeat) VersionOf(kind Kind) VersionInfo {
 	if kind == Evacuations {
-		return h.HeldEvacuations
+		return h.EvacuationsVersion
 	}
-	return h.Held[kind]
+	return h.Versions[kind]
 }
 
 // Kind is a kind of content that VMs share.
@@ -104,18 +104,18 @@
 	// revision of the store, as for Targets.
 	Evacuations // evacuations
 
-	// Kinds is the number of kinds, and chunkedKinds the number of those that are sent in
+	// NumKinds is the number of kinds, and chunkedKinds the number of those that are sent in
 	// chunks.
-	Kinds        = 3
+	NumKinds     = 3
 	chunkedKinds = 2
 )
 
-// Held describes the version of one kind of content that a VM holds, and its freshness.
-type Held struct {
-	// Version is 0 if the VM holds none.
-	Version uint64 `cbor:"1,keyasint,omitempty"`
-	// Sum is the checksum of the content.
-	Sum uint64 `cbor:"2,keyasint,omitempty"`
+// VersionInfo describes the version of one kind of content that a VM holds, and its freshness.
+type VersionInfo struct {
+	// Number is 0 if the VM holds none.
+	Number uint64 `cbor:"1,keyasint,omitempty"`
+	// Checksum is the checksum of the content.
+	Checksum uint64 `cbor:"2,keyasint,omitempty"`
 	// AgeMS is the time, in milliseconds, since the store was last known to hold nothing
 	// newer, either by a request of the sender or of another VM.
 	AgeMS uint32 `cbor:"3,keyasint,omitempty"`
@@ -123,32 +123,32 @@
 	Era uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// MakeHeld returns the description of content with the given revision, checksum and age.
-func MakeHeld(revision baobabstep.Revision, sum uint64, age time.Duration) Held {
-	return Held{Version: revision.Number, Era: revision.Era, Sum: sum, AgeMS: uint32(min(max(0, age.Milliseconds()), maxAgeMS))}
+// MakeVersionInfo returns the description of content with the given revision, checksum and age.
+func MakeVersionInfo(revision baobabstep.Revision, sum uint64, age time.Duration) VersionInfo {
+	return VersionInfo{Number: revision.Number, Era: revision.Era, Checksum: sum, AgeMS: uint32(min(max(0, age.Milliseconds()), maxAgeMS))}
 }
 
 // Revision returns Version with its era.
-func (h Held) Revision() baobabstep.Revision {
-	return baobabstep.Revision{Era: h.Era, Number: h.Version}
+func (h VersionInfo) Revision() baobabstep.Revision {
+	return baobabstep.Revision{Era: h.Era, Number: h.Number}
 }
 
 // Age returns AgeMS as a duration.
-func (h Held) Age() time.Duration { return time.Duration(h.AgeMS) * time.Millisecond }
+func (h VersionInfo) Age() time.Duration { return time.Duration(h.AgeMS) * time.Millisecond }
 
-// Vouches returns the time since the store was last known, by the sender, to hold nothing
+// ConfirmedAge returns the time since the store was last known, by the sender, to hold nothing
 // newer than the content with the given checksum. It returns false if the sender holds
 // other content or none.
-func (h *Heartbeat) Vouches(kind Kind, sum uint64) (age time.Duration, ok bool) {
-	held := h.HeldOf(kind)
-	return held.Age(), held.Version > 0 && held.Sum == sum
+func (h *Heartbeat) ConfirmedAge(kind Kind, sum uint64) (age time.Duration, ok bool) {
+	held := h.VersionOf(kind)
+	return held.Age(), held.Number > 0 && held.Checksum == sum
 }
 
 // Load is the load that the sender sends to one target.
 type Load struct {
 	Target baobabstep.TargetID
-	// Tenths is the number of recent requests times ten.
-	Tenths uint32
+	// RequestTenths is the number of recent requests times ten.
+	RequestTenths uint32
 	// Unanswered is the number of consecutive flows that the target left without an
 	// answer, and Opens the number of those whose first segment was unanswered.
 	Unanswered, Opens uint8
@@ -160,12 +160,12 @@
 	// the others in milliseconds. They are set only for targets that differ from the
 	// others.
 	AnswerTenths, FailedTenths uint16
-	TookMS                     uint16
+	LatencyMS                  uint16
 	// Callers are the callers whose requests failed, as an answer.Callers.
 	Callers uint16
-	// LeftMS is the time in milliseconds since the last of the unanswered flows was found
+	// LastUnansweredMS is the time in milliseconds since the last of the unanswered flows was found
 	// to be unanswered.
-	LeftMS uint16
+	LastUnansweredMS uint16
 	// Vanished is the number of consecutive flows that the target seems to have refused.
 	Vanished uint8
 }
@@ -173,39 +173,39 @@
 // Loads are loads sorted by target.
 type Loads []Load
 
-// Want is a request for the receiver's content of one kind.
-type Want struct {
+// Request is a request for the receiver's content of one kind.
+type Request struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
-	// Newer and Era are the version that the sender holds, as in Held.
-	Newer uint64 `cbor:"2,keyasint,omitempty"`
-	Era   uint64 `cbor:"3,keyasint,omitempty"`
-	// Sum is the checksum of the content that the sender holds, to request a change to it.
+	// Number and Era are the version that the sender holds, as in Held.
+	Number uint64 `cbor:"2,keyasint,omitempty"`
+	Era    uint64 `cbor:"3,keyasint,omitempty"`
+	// Checksum is the checksum of the content that the sender holds, to request a change to it.
 	// 0 requests the complete content.
-	Sum uint64 `cbor:"4,keyasint,omitempty"`
+	Checksum uint64 `cbor:"4,keyasint,omitempty"`
 	// Digests are the bucket digests of the sender's registrations. If set, they request
 	// sections of the buckets that differ.
 	Digests []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// MakeWant returns a request for content that is newer than a revision.
-func MakeWant(kind Kind, held baobabstep.Revision) *Want {
-	return &Want{Kind: kind, Newer: held.Number, Era: held.Era}
+// MakeRequest returns a request for content that is newer than a revision.
+func MakeRequest(kind Kind, held baobabstep.Revision) *Request {
+	return &Request{Kind: kind, Number: held.Number, Era: held.Era}
 }
 
 // Revision returns the revision that the sender holds.
-func (w *Want) Revision() baobabstep.Revision {
-	return baobabstep.Revision{Era: w.Era, Number: w.Newer}
+func (w *Request) Revision() baobabstep.Revision {
+	return baobabstep.Revision{Era: w.Era, Number: w.Number}
 }
 
-// Piece is one chunk of the encoded content of a kind.
-type Piece struct {
-	Kind Kind `cbor:"1,keyasint,omitempty"`
-	Held Held `cbor:"2,keyasint"`
-	// Check is the checksum of the complete content.
-	Check uint64 `cbor:"3,keyasint"`
-	Index uint16 `cbor:"4,keyasint,omitempty"`
-	Count uint16 `cbor:"5,keyasint"`
-	Data  []byte `cbor:"6,keyasint"`
+// Chunk is one chunk of the encoded content of a kind.
+type Chunk struct {
+	Kind        Kind        `cbor:"1,keyasint,omitempty"`
+	VersionInfo VersionInfo `cbor:"2,keyasint"`
+	// ContentChecksum is the checksum of the complete content.
+	ContentChecksum uint64 `cbor:"3,keyasint"`
+	Index           uint16 `cbor:"4,keyasint,omitempty"`
+	Count           uint16 `cbor:"5,keyasint"`
+	Data            []byte `cbor:"6,keyasint"`
 }
 
 // Change is the difference between two versions of a content, which is much smaller than
@@ -214,22 +214,22 @@
 // segments of callers would be lost.
 type Change struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
-	// From is the checksum of the content that the change applies to, and To describes the
+	// BaseChecksum is the checksum of the content that the change applies to, and To describes the
 	// result.
-	From uint64 `cbor:"2,keyasint"`
-	To   Held   `cbor:"3,keyasint"`
-	// Idle is the idle timeout of the new routing table.
-	Idle time.Duration `cbor:"4,keyasint,omitempty"`
+	BaseChecksum uint64      `cbor:"2,keyasint"`
+	Result       VersionInfo `cbor:"3,keyasint"`
+	// IdleTimeout is the idle timeout of the new routing table.
+	IdleTimeout time.Duration `cbor:"4,keyasint,omitempty"`
 	// RemovedRules and RemovedTargets are removed; Rules and Targets are added or
 	// replaced.
 	RemovedRules   []string              `cbor:"5,keyasint,omitempty"`
 	Rules          []ruleBody            `cbor:"6,keyasint,omitempty"`
 	RemovedTargets []baobabstep.TargetID `cbor:"7,keyasint,omitempty"`
 	Targets        []targetBody          `cbor:"8,keyasint,omitempty"`
-	// ColdLimits are all those of the new routing table. They are set only if ColdChanged
+	// ColdLimits are all those of the new routing table. They are set only if ColdLimitsChanged
 	// is set.
-	ColdChanged bool            `cbor:"9,keyasint,omitempty"`
-	ColdLimits  []coldLimitBody `cbor:"10,keyasint,omitempty"`
+	ColdLimitsChanged bool            `cbor:"9,keyasint,omitempty"`
+	ColdLimits        []coldLimitBody `cbor:"10,keyasint,omitempty"`
 	// Origin is the root of the relay tree: the VM that first sent the change within the
 	// data centre. If unset, receivers do not relay the change.
 	Origin netip.AddrPort `cbor:"11,keyasint,omitzero"`
@@ -298,13 +298,13 @@
 			return false
 		}
 	}
-	if w := m.Want; w != nil {
+	if w := m.Request; w != nil {
 		parts++
-		if w.Kind >= Kinds {
+		if w.Kind >= NumKinds {
 			return false
 		}
 	}
-	if p := m.Piece; p != nil {
+	if p := m.Chunk; p != nil {
 		parts++
 		if p.Kind >= chunkedKinds || p.Count == 0 || p.Index >= p.Count || p.Count > maxChunks {
 			return false
@@ -312,7 +312,7 @@
 	}
 	if c := m.Change; c != nil {
 		parts++
-		if c.Kind >= chunkedKinds || c.To.Version == 0 {
+		if c.Kind >= chunkedKinds || c.Result.Number == 0 {
 			return false
 		}
 	}
@@ -324,7 +324,7 @@
 	}
 	if e := m.Evacuations; e != nil {
 		parts++
-		if e.Held.Version == 0 || len(e.DataCentres) > maxEvacuatedDataCentres {
+		if e.VersionInfo.Number == 0 || len(e.DataCentres) > maxEvacuatedDataCentres {
 			return false
 		}
 	}
@@ -336,7 +336,7 @@
 	}
 	if s := m.Section; s != nil {
 		parts++
-		if s.Held.Version == 0 {
+		if s.VersionInfo.Number == 0 {
 			return false
 		}
 	}
--- a/core/heartbeat/registrations.go
+++ b/core/heartbeat/registrations.go
@@ -36,20 +36,20 @@
 // content is held.
 const emptyChecksum = 0x9e3779b97f4a7c15
 
-// NoRegistrations returns an empty list.
-func NoRegistrations() *Registrations {
+// EmptyRegistrations returns an empty list.
+func EmptyRegistrations() *Registrations {
 	return &Registrations{checksum: emptyChecksum}
 }
 
 // NewRegistrations returns the registrations of a list in any order. Of two with the same
 // identifier, the later one is used. Errors: CodeInternal.
 func NewRegistrations(list []baobabstep.Registration) (*Registrations, error) {
-	r := NoRegistrations()
+	r := EmptyRegistrations()
 	return r, r.Apply(Difference{Put: list})
 }
 
-// Sum returns the checksum.
-func (r *Registrations) Sum() uint64 { return r.checksum }
+// Checksum returns the checksum.
+func (r *Registrations) Checksum() uint64 { return r.checksum }
 
 // Len returns the number of registrations.
 func (r *Registrations) Len() int { return r.count }
@@ -89,34 +89,34 @@
 // Difference is a change of registrations: Put are added or replaced, Gone are removed. No
 // target occurs in it twice.
 type Difference struct {
-	Put  []baobabstep.Registration
-	Gone []baobabstep.TargetID
+	Put     []baobabstep.Registration
+	Removed []baobabstep.TargetID
 }
 
 // Empty reports whether nothing changes.
-func (d *Difference) Empty() bool { return len(d.Put)+len(d.Gone) == 0 }
+func (d *Difference) Empty() bool { return len(d.Put)+len(d.Removed) == 0 }
 
 // Merge appends a later difference to d. For a target that is in both, the later one
 // applies.
 func (d *Difference) Merge(later Difference) {
 	if d.Empty() {
-		*d = Difference{Put: slices.Clone(later.Put), Gone: slices.Clone(later.Gone)}
+		*d = Difference{Put: slices.Clone(later.Put), Removed: slices.Clone(later.Removed)}
 		return
 	}
-	replaced := make(map[baobabstep.TargetID]bool, len(later.Put)+len(later.Gone))
+	replaced := make(map[baobabstep.TargetID]bool, len(later.Put)+len(later.Removed))
 	for i := range later.Put {
 		replaced[later.Put[i].ID] = true
 	}
-	for _, id := range later.Gone {
+	for _, id := range later.Removed {
 		replaced[id] = true
 	}
 	d.Put = slices.DeleteFunc(d.Put, func(r baobabstep.Registration) bool { return replaced[r.ID] })
-	d.Gone = slices.DeleteFunc(d.Gone, func(id baobabstep.TargetID) bool { return replaced[id] })
-	d.Put, d.Gone = append(d.Put, later.Put...), append(d.Gone, later.Gone...)
+	d.Removed = slices.DeleteFunc(d.Removed, func(id baobabstep.TargetID) bool { return replaced[id] })
+	d.Put, d.Removed = append(d.Put, later.Put...), append(d.Removed, later.Removed...)
 }
 
-// To returns the difference that changes r into others.
-func (r *Registrations) To(others *Registrations) Difference {
+// DiffTo returns the difference that changes r into others.
+func (r *Registrations) DiffTo(others *Registrations) Difference {
 	var d Difference
 	for id, s := range others.all {
 		if old, _ := r.find(id); old != s {
@@ -125,17 +125,17 @@
 	}
 	for id := range r.all {
 		if _, there := others.find(id); !there {
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		}
 	}
 	SortTargets(d.Put)
-	slices.Sort(d.Gone)
+	slices.Sort(d.Removed)
 	return d
 }
 
-// SumAfter returns the checksum that results from applying a difference, without applying
+// ChecksumAfter returns the checksum that results from applying a difference, without applying
 // it. Errors: CodeInternal.
-func (r *Registrations) SumAfter(d Difference) (uint64, error) {
+func (r *Registrations) ChecksumAfter(d Difference) (uint64, error) {
 	put, err := withChecksums(d.Put)
 	if err != nil {
 		return 0, err
@@ -145,7 +145,7 @@
 		old, _ := r.find(s.ID)
 		sum += s.checksum - old.checksum
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		old, _ := r.find(id)
 		sum -= old.checksum
 	}
@@ -161,7 +161,7 @@
 	for _, s := range put {
 		r.put(s)
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		r.remove(id)
 	}
 	return nil
@@ -198,7 +198,7 @@
 		if err != nil {
 			return nil, baobabstep.Errorf(baobabstep.CodeInternal, "heartbeat.sum", "%w", err)
 		}
-		all[i] = checksummed{list[i], Sum(b)}
+		all[i] = checksummed{list[i], Checksum(b)}
 	}
 	return all, nil
 }
--- a/core/heartbeat/section.go
+++ b/core/heartbeat/section.go
@@ -26,7 +26,7 @@
 )
 
 // targetHash returns the hash that determines a target's bucket and its position there.
-func targetHash(id baobabstep.TargetID) uint64 { return mix.Bits(uint64(id)) }
+func targetHash(id baobabstep.TargetID) uint64 { return mix.Uint64(uint64(id)) }
 
 func bucketOf(id baobabstep.TargetID) int { return int(targetHash(id) >> (64 - bucketBits)) }
 
@@ -34,8 +34,8 @@
 // within one bucket. Sections can be applied independently, in any order and from
 // several senders; a lost one is retransmitted without the others.
 type Section struct {
-	// Held describes the sender's complete list.
-	Held Held `cbor:"1,keyasint"`
+	// VersionInfo describes the sender's complete list.
+	VersionInfo VersionInfo `cbor:"1,keyasint"`
 	// First and Last are the bounds of the range, both inclusive.
 	First uint64 `cbor:"2,keyasint,omitempty"`
 	Last  uint64 `cbor:"3,keyasint,omitempty"`
@@ -61,7 +61,7 @@
 // Sections returns sections of the buckets whose digests differ from those in digests,
 // beginning with firstBucket and wrapping around. It stops at about maxBytes but returns
 // at least one section, or none if all digests are equal.
-func (r *Registrations) Sections(held Held, digests []byte, firstBucket, maxBytes int) (list []*Section) {
+func (r *Registrations) Sections(held VersionInfo, digests []byte, firstBucket, maxBytes int) (list []*Section) {
 	size := 0
 	for i := range NumBuckets {
 		bucket := (firstBucket + i) % NumBuckets
@@ -72,7 +72,7 @@
 			if size > 0 && size+s.size() > maxBytes {
 				break
 			}
-			s.Held = held
+			s.VersionInfo = held
 			list = append(list, s)
 			size += s.size() + sectionOverhead
 		}
@@ -171,10 +171,10 @@
 	}
 	for id := range from.buckets[s.First>>(64-bucketBits)].registrations {
 		if h := targetHash(id); h >= s.First && h <= s.Last && !listed[id] {
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		}
 	}
-	slices.Sort(d.Gone)
+	slices.Sort(d.Removed)
 	return d, nil
 }
 
--- a/core/heartbeat/section_test.go
+++ b/core/heartbeat/section_test.go
@@ -16,7 +16,7 @@
 func TestSectionsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) *Registrations {
-			r := NoRegistrations()
+			r := EmptyRegistrations()
 			var d Difference
 			for range rapid.IntRange(0, 300).Draw(t, name) {
 				reg := registrationOf(baobabstep.TargetID(rapid.IntRange(1, 400).Draw(t, "id")))
@@ -33,8 +33,8 @@
 		}
 		ours, theirs := draw("ours"), draw("theirs")
 		maxBytes := rapid.IntRange(1, 20000).Draw(t, "maxBytes")
-		for round := 0; ours.Sum() != theirs.Sum(); round++ {
-			sections := theirs.Sections(MakeHeld(revisionOf(2), theirs.Sum(), 0), ours.Digests(), round, maxBytes)
+		for round := 0; ours.Checksum() != theirs.Checksum(); round++ {
+			sections := theirs.Sections(MakeVersionInfo(revisionOf(2), theirs.Checksum(), 0), ours.Digests(), round, maxBytes)
 			if len(sections) == 0 || !sections[len(sections)-1].End {
 				t.Fatalf("round %d: got %d sections, want at least one, the last with End set", round, len(sections))
 			}
@@ -56,7 +56,7 @@
 				}
 			}
 		}
-		if sections := theirs.Sections(Held{}, ours.Digests(), 0, maxBytes); sections != nil {
+		if sections := theirs.Sections(VersionInfo{}, ours.Digests(), 0, maxBytes); sections != nil {
 			t.Fatalf("got %d sections of equal registrations, want none", len(sections))
 		}
 	})
@@ -64,9 +64,9 @@
 
 // Guards against accepting sections that are truncated or inconsistent.
 func TestMalformedSection(t *testing.T) {
-	r := NoRegistrations()
+	r := EmptyRegistrations()
 	qt.Assert(t, r.Apply(Difference{Put: []baobabstep.Registration{registrationOf(1), registrationOf(2)}}), qt.IsNil)
-	good := *r.Sections(Held{}, nil, bucketOf(1), 1)[0]
+	good := *r.Sections(VersionInfo{}, nil, bucketOf(1), 1)[0]
 	for _, c := range []struct {
 		name    string
 		corrupt func(s *Section)
@@ -81,7 +81,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := good
 			c.corrupt(&s)
-			_, err := s.Difference(NoRegistrations())
+			_, err := s.Difference(EmptyRegistrations())
 			qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeMalformed)
 		})
 	}
@@ -89,9 +89,9 @@
 
 // Guards against panics on arbitrary sections.
 func FuzzSection(f *testing.F) {
-	r := NoRegistrations()
+	r := EmptyRegistrations()
 	_ = r.Apply(Difference{Put: []baobabstep.Registration{registrationOf(1)}})
-	for _, s := range r.Sections(Held{}, nil, 0, 1) {
+	for _, s := range r.Sections(VersionInfo{}, nil, 0, 1) {
 		f.Add(s.First, s.Last, s.Rows)
 	}
 	f.Fuzz(func(_ *testing.T, first, last uint64, rows []byte) {
@@ -103,15 +103,15 @@
 // Guards against merged differences that keep an entry which the later one replaces.
 func TestDifferenceMerge(t *testing.T) {
 	one, two := registrationOf(1), registrationOf(2)
-	d := Difference{Put: []baobabstep.Registration{one}, Gone: []baobabstep.TargetID{2}}
-	d.Merge(Difference{Put: []baobabstep.Registration{two}, Gone: []baobabstep.TargetID{1}})
+	d := Difference{Put: []baobabstep.Registration{one}, Removed: []baobabstep.TargetID{2}}
+	d.Merge(Difference{Put: []baobabstep.Registration{two}, Removed: []baobabstep.TargetID{1}})
 	qt.Assert(t, len(d.Put) == 1 && d.Put[0] == two, qt.IsTrue)
-	qt.Assert(t, d.Gone, qt.DeepEquals, []baobabstep.TargetID{1})
+	qt.Assert(t, d.Removed, qt.DeepEquals, []baobabstep.TargetID{1})
 }
 
 // Guards against sections that exceed the message limit where targets have many service names.
 func TestSectionsWithManyNamesFit(t *testing.T) {
-	r := NoRegistrations()
+	r := EmptyRegistrations()
 	var d Difference
 	for id := baobabstep.TargetID(1); id <= 10000; id++ {
 		reg := registrationOf(id)
@@ -119,7 +119,7 @@
 		d.Put = append(d.Put, reg)
 	}
 	qt.Assert(t, r.Apply(d), qt.IsNil)
-	for _, s := range r.Sections(MakeHeld(revisionOf(2), 1, 0), nil, 0, 1e9) {
+	for _, s := range r.Sections(MakeVersionInfo(revisionOf(2), 1, 0), nil, 0, 1e9) {
 		_, err := Encode(&Message{Section: s})
 		qt.Assert(t, err, qt.IsNil)
 	}
--- a/core/heartbeat/transfer.go
+++ b/core/heartbeat/transfer.go
@@ -201,29 +201,29 @@
 	MaxNestedLevels: 8, MaxArrayElements: 131072,
 }.DecMode())
 
-// Sum returns the checksum of encoded content.
-func Sum(content []byte) uint64 { return xxhash.Sum64(content) }
+// Checksum returns the checksum of encoded content.
+func Checksum(content []byte) uint64 { return xxhash.Sum64(content) }
 
-// Split divides encoded content into chunks. Errors: CodeTooLarge.
-func Split(kind Kind, held Held, content []byte) ([]*Message, error) {
+// SplitChunks divides encoded content into chunks. Errors: CodeTooLarge.
+func SplitChunks(kind Kind, held VersionInfo, content []byte) ([]*Message, error) {
 	count := max(1, (len(content)+chunkBytes-1)/chunkBytes)
 	if count > maxChunks {
 		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "heartbeat.split", "got %d bytes, want at most %d", len(content), maxChunks*chunkBytes)
 	}
-	check := Sum(content)
+	check := Checksum(content)
 	messages := make([]*Message, 0, count)
 	for i := range count {
 		part := content[min(i*chunkBytes, len(content)):min((i+1)*chunkBytes, len(content))]
-		messages = append(messages, &Message{Piece: &Piece{
-			Kind: kind, Held: held, Check: check, Index: uint16(i), Count: uint16(count), Data: part,
+		messages = append(messages, &Message{Chunk: &Chunk{
+			Kind: kind, VersionInfo: held, ContentChecksum: check, Index: uint16(i), Count: uint16(count), Data: part,
 		}})
 	}
 	return messages, nil
 }
 
-// Assembly reassembles the chunks of one kind of content. The zero value is ready to use.
-type Assembly struct {
-	held      Held
+// ChunkAssembly reassembles the chunks of one kind of content. The zero value is ready to use.
+type ChunkAssembly struct {
+	held      VersionInfo
 	startedAt time.Time
 	chunks    [][]byte
 	left      int
@@ -232,30 +232,30 @@
 // Add adds a chunk. Once all chunks have arrived and the checksum matches, it returns true
 // and the content. Chunks of another version replace incomplete content only if they are
 // newer, or if that content has timed out.
-func (a *Assembly) Add(now time.Time, p *Piece) (content []byte, held Held, complete bool) {
+func (a *ChunkAssembly) Add(now time.Time, p *Chunk) (content []byte, held VersionInfo, complete bool) {
 	if !a.belongs(p) {
-		if a.left > 0 && !a.held.Revision().Before(p.Held.Revision()) && now.Sub(a.startedAt) < chunkTimeout {
-			return nil, Held{}, false
+		if a.left > 0 && !a.held.Revision().Before(p.VersionInfo.Revision()) && now.Sub(a.startedAt) < chunkTimeout {
+			return nil, VersionInfo{}, false
 		}
-		*a = Assembly{held: p.Held, startedAt: now, chunks: make([][]byte, p.Count), left: int(p.Count)}
+		*a = ChunkAssembly{held: p.VersionInfo, startedAt: now, chunks: make([][]byte, p.Count), left: int(p.Count)}
 	}
 	if a.chunks[p.Index] != nil {
-		return nil, Held{}, false
+		return nil, VersionInfo{}, false
 	}
 	a.chunks[p.Index] = append([]byte{}, p.Data...)
 	a.left--
 	if a.left > 0 {
-		return nil, Held{}, false
+		return nil, VersionInfo{}, false
 	}
 	for _, chunk := range a.chunks {
 		content = append(content, chunk...)
 	}
 	held = a.held
-	*a = Assembly{}
-	return content, held, Sum(content) == p.Check
+	*a = ChunkAssembly{}
+	return content, held, Checksum(content) == p.ContentChecksum
 }
 
 // belongs reports whether a chunk is part of the incomplete content.
-func (a *Assembly) belongs(p *Piece) bool {
-	return a.left > 0 && a.held.Revision() == p.Held.Revision() && a.held.Sum == p.Held.Sum && len(a.chunks) == int(p.Count)
+func (a *ChunkAssembly) belongs(p *Chunk) bool {
+	return a.left > 0 && a.held.Revision() == p.VersionInfo.Revision() && a.held.Checksum == p.VersionInfo.Checksum && len(a.chunks) == int(p.Count)
 }
--- a/core/heartbeat/transfer_test.go
+++ b/core/heartbeat/transfer_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	content, err := EncodeRoutes(largeTable(version))
 	qt.Assert(t, err, qt.IsNil)
-	list, err := Split(Routes, MakeHeld(revisionOf(version), Sum(content), 0), content)
+	list, err := SplitChunks(Routes, MakeVersionInfo(revisionOf(version), Checksum(content), 0), content)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(list) > 5, qt.IsTrue)
 	for _, m := range list {
@@ -41,15 +41,15 @@
 	list := chunksOf(t, 7)
 	list = append(list, list...) // datagrams may be duplicated
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	var a Assembly
+	var a ChunkAssembly
 	completed := 0
 	for _, m := range list {
-		content, held, complete := a.Add(start, m.Piece)
+		content, held, complete := a.Add(start, m.Chunk)
 		if !complete {
 			continue
 		}
 		completed++
-		qt.Assert(t, held.Version, qt.Equals, uint64(7))
+		qt.Assert(t, held.Number, qt.Equals, uint64(7))
 		table, err := DecodeRoutes(content)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, table.Rules, qt.HasLen, 350)
@@ -62,13 +62,13 @@
 // prevent its completion, when two peers send different versions at the same time.
 func TestChunksOfTwoVersions(t *testing.T) {
 	older, newer := chunksOf(t, 7), chunksOf(t, 8)
-	var a Assembly
+	var a ChunkAssembly
 	for i := range older {
-		a.Add(start, older[i].Piece)
-		content, held, complete := a.Add(start, newer[i].Piece)
+		a.Add(start, older[i].Chunk)
+		content, held, complete := a.Add(start, newer[i].Chunk)
 		qt.Assert(t, complete, qt.Equals, i == len(older)-1)
 		if complete {
-			qt.Assert(t, held.Version, qt.Equals, uint64(8))
+			qt.Assert(t, held.Number, qt.Equals, uint64(8))
 			_, err := DecodeRoutes(content)
 			qt.Assert(t, err, qt.IsNil)
 		}
@@ -77,12 +77,12 @@
 
 // Guards against chunks of a restored store that wait for those of the previous era.
 func TestChunksOfALaterEra(t *testing.T) {
-	var a Assembly
-	a.Add(start, chunksOf(t, 9)[0].Piece)
+	var a ChunkAssembly
+	a.Add(start, chunksOf(t, 9)[0].Chunk)
 	complete := false
 	for _, m := range chunksOf(t, 8) {
-		m.Piece.Held.Era = 1
-		_, _, complete = a.Add(start, m.Piece)
+		m.Chunk.VersionInfo.Era = 1
+		_, _, complete = a.Add(start, m.Chunk)
 	}
 	qt.Assert(t, complete, qt.IsTrue)
 }
@@ -90,22 +90,22 @@
 // Guards against a lost chunk that blocks later content, even of an older version from
 // another peer.
 func TestLostChunkDoesNotBlock(t *testing.T) {
-	var a Assembly
-	a.Add(start, chunksOf(t, 9)[0].Piece)
+	var a ChunkAssembly
+	a.Add(start, chunksOf(t, 9)[0].Chunk)
 	later := start.Add(chunkTimeout)
 	complete := false
 	for _, m := range chunksOf(t, 8) {
-		_, _, complete = a.Add(later, m.Piece)
+		_, _, complete = a.Add(later, m.Chunk)
 	}
 	qt.Assert(t, complete, qt.IsTrue)
 }
 
 func TestDamagedChunk(t *testing.T) {
 	list := chunksOf(t, 7)
-	list[2].Piece.Data = append([]byte{0xff}, list[2].Piece.Data[1:]...)
-	var a Assembly
+	list[2].Chunk.Data = append([]byte{0xff}, list[2].Chunk.Data[1:]...)
+	var a ChunkAssembly
 	for _, m := range list {
-		_, _, complete := a.Add(start, m.Piece)
+		_, _, complete := a.Add(start, m.Chunk)
 		qt.Assert(t, complete, qt.IsFalse)
 	}
 }
@@ -128,13 +128,13 @@
 		m    Message
 	}{
 		{"nothing", Message{}},
-		{"two parts", Message{Heartbeat: newHeartbeat(1, 1, 1), Want: &Want{}}},
+		{"two parts", Message{Heartbeat: newHeartbeat(1, 1, 1), Request: &Request{}}},
 		{"no sender", Message{Heartbeat: &Heartbeat{DataCentre: "a"}}},
 		{"no data centre", Message{Heartbeat: &Heartbeat{From: 1}}},
-		{"unknown kind requested", Message{Want: &Want{Kind: Kinds}}},
-		{"chunk index out of range", Message{Piece: &Piece{Index: 2, Count: 2}}},
-		{"no chunks", Message{Piece: &Piece{}}},
-		{"too many chunks", Message{Piece: &Piece{Count: maxChunks + 1}}},
+		{"unknown kind requested", Message{Request: &Request{Kind: NumKinds}}},
+		{"chunk index out of range", Message{Chunk: &Chunk{Index: 2, Count: 2}}},
+		{"no chunks", Message{Chunk: &Chunk{}}},
+		{"too many chunks", Message{Chunk: &Chunk{Count: maxChunks + 1}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			raw, err := encMode.Marshal(&test.m)
@@ -155,9 +155,9 @@
 	f.Add(raw)
 	f.Fuzz(func(_ *testing.T, raw []byte) {
 		m, err := Decode(raw)
-		if err == nil && m.Piece != nil {
-			var a Assembly
-			a.Add(start, m.Piece)
+		if err == nil && m.Chunk != nil {
+			var a ChunkAssembly
+			a.Add(start, m.Chunk)
 		}
 		if table, err := DecodeRoutes(raw); err == nil {
 			_, _ = EncodeRoutes(table)
--- a/core/heartbeat/view.go
+++ b/core/heartbeat/view.go
@@ -23,7 +23,7 @@
 // that no VM has heard, may be in one part of a partition, with others in the other part
 // in the same
 // situation.
-func (b *Board) View(now time.Time) *quota.View {
+func (b *PeerTable) View(now time.Time) *quota.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next := quota.View{Self: b.options.Self, Others: b.nearVMIDs(), Settled: b.knowsAllNear(now)}
@@ -40,7 +40,7 @@
 // KnowsOthers reports whether the VM is assumed to know enough of the others to determine
 // its rank. Either it started a while ago, or it has discovered VMs, and did not hear
 // another VM of its data centre for the first time recently.
-func (b *Board) KnowsOthers(now time.Time) bool {
+func (b *PeerTable) KnowsOthers(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.started) >= discoveryPeriod {
@@ -61,7 +61,7 @@
 }
 
 // nearVMIDs returns the identifiers of all other known VMs of the own data centre, sorted.
-func (b *Board) nearVMIDs() (list []baobabstep.VMID) {
+func (b *PeerTable) nearVMIDs() (list []baobabstep.VMID) {
 	for _, p := range b.peers {
 		if p.last != nil && p.last.DataCentre == b.options.DataCentre {
 			list = append(list, p.last.From)
@@ -72,8 +72,8 @@
 }
 
 // knowsAllNear reports whether the VM is assumed to know all others of its data centre.
-func (b *Board) knowsAllNear(now time.Time) bool {
-	if now.Sub(b.lastNewNearPeer) < settlePeriod || now.Sub(b.started) < b.options.Forget && len(b.unseenSeeds) > 0 {
+func (b *PeerTable) knowsAllNear(now time.Time) bool {
+	if now.Sub(b.lastNewNearPeer) < settlePeriod || now.Sub(b.started) < b.options.RemovalTimeout && len(b.unseenSeeds) > 0 {
 		return false
 	}
 	alone := true
--- a/core/heartbeat/view_test.go
+++ b/core/heartbeat/view_test.go
@@ -59,7 +59,7 @@
 
 type quotaVM struct {
 	n     int
-	board *Board
+	board *PeerTable
 	meter quota.Meter
 	// frozenUntil is the time until which the VM is suspended.
 	frozenUntil time.Time
@@ -76,7 +76,7 @@
 
 func (f *quotaFleet) start(vm *quotaVM) {
 	vm.board = New(f.now, Options{
-		Self: baobabstep.VMID(100 + vm.n), DataCentre: "a", Address: address(vm.n + 1), Life: uint64(f.now.UnixMilli()),
+		Self: baobabstep.VMID(100 + vm.n), DataCentre: "a", Address: address(vm.n + 1), Incarnation: uint64(f.now.UnixMilli()),
 		Seeds: []netip.AddrPort{address(1), address(2), address(3)}, Rand: rand.New(rand.NewPCG(f.random.Uint64(), 1)),
 	})
 	vm.meter, vm.stopped = quota.Meter{}, false
@@ -90,8 +90,8 @@
 		if !vm.isRunning(f.now) {
 			continue
 		}
-		if vm.board.Due(f.now) {
-			for _, out := range vm.board.Tick(f.now, Own{}) {
+		if vm.board.HeartbeatsDue(f.now) {
+			for _, out := range vm.board.Tick(f.now, LocalState{}) {
 				f.deliver(vm, out)
 			}
 		}
@@ -114,7 +114,7 @@
 
 func (vm *quotaVM) isRunning(now time.Time) bool { return !vm.stopped && !now.Before(vm.frozenUntil) }
 
-func (f *quotaFleet) deliver(from *quotaVM, out Out) {
+func (f *quotaFleet) deliver(from *quotaVM, out Outgoing) {
 	to := int(out.To.Addr().As4()[3]) - 1
 	if to >= len(f.vms) || !f.vms[to].isRunning(f.now) || f.partitioned[[2]int{from.n, to}] || f.random.Float64() < f.loss {
 		return
--- a/core/mix/mix.go
+++ b/core/mix/mix.go
@@ -3,8 +3,8 @@
 // change between versions.
 package mix
 
-// Bits returns x with its bits mixed. It is a bijection.
-func Bits(x uint64) uint64 {
+// Uint64 returns x with its bits mixed. It is a bijection.
+func Uint64(x uint64) uint64 {
 	const odd = 0xd6e8feb86659fd93
 	x ^= x >> 32
 	x *= odd
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -99,5 +99,5 @@
 
 // weight is the rendezvous weight of a VM for a key.
 func weight(vm baobabstep.VMID, key uint64) uint64 {
-	return mix.Bits(uint64(vm) ^ key*0x9e3779b97f4a7c15)
+	return mix.Uint64(uint64(vm) ^ key*0x9e3779b97f4a7c15)
 }
--- a/core/token/answers.go
+++ b/core/token/answers.go
@@ -27,10 +27,10 @@
 // targets, since the VM started.
 type serviceStats struct {
 	mu         sync.Mutex
-	allAnswers answer.Sum
+	allAnswers answer.Counter
 	// coldAnswers and warmAnswers are the answers of targets that were cold, and of the
 	// others.
-	coldAnswers, warmAnswers answer.Sum
+	coldAnswers, warmAnswers answer.Counter
 	// meanTime is the mean answer time at the last refresh, unloadedTime the mean answer
 	// time under light load, and coldSlowdown the ratio of the answer time of cold targets
 	// to that of warm ones.
@@ -76,12 +76,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sample := s.allAnswers.Sample(now)
-	if sample.Took <= 0 {
+	if sample.Latency <= 0 {
 		return
 	}
-	s.meanTime = sample.Took
-	if cold, warm := s.coldAnswers.Sample(now), s.warmAnswers.Sample(now); min(cold.Answers, warm.Answers) >= minMeanAnswers && warm.Took > 0 {
-		s.coldSlowdown = cold.Took.Seconds() / warm.Took.Seconds()
+	s.meanTime = sample.Latency
+	if cold, warm := s.coldAnswers.Sample(now), s.warmAnswers.Sample(now); min(cold.Answers, warm.Answers) >= minMeanAnswers && warm.Latency > 0 {
+		s.coldSlowdown = cold.Latency.Seconds() / warm.Latency.Seconds()
 	}
 	switch {
 	case sample.Answers < minMeanAnswers:
@@ -200,7 +200,7 @@
 }
 
 // currentVerdict returns the verdict on the target.
-func (l *load) currentVerdict() answer.Verdict {
+func (l *load) currentVerdict() answer.Health {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.verdict
@@ -209,7 +209,7 @@
 // trialInterval returns the time between two flows of this VM to a target on trial, so that
 // the VMs of its data centre together send one flow each answer.TrialGap.
 func (r *Router) trialInterval() time.Duration {
-	return answer.TrialGap * time.Duration(r.vmCount())
+	return answer.TrialInterval * time.Duration(r.vmCount())
 }
 
 // reviewVerdicts refreshes the service statistics and updates the verdicts of the targets
@@ -261,7 +261,7 @@
 	for t := range p.window(int(r.randomUint64()%uint64(len(p.targets))), maxPeerSamples, nil).all() {
 		samples = append(samples, t.load.ownAnswers(now))
 	}
-	return answer.PeerShare(samples)
+	return answer.UsualFailureRate(samples)
 }
 
 // answerTime returns the mean answer time of the target, over this VM and the reports of
@@ -269,7 +269,7 @@
 func (l *load) answerTime(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tally.Sample(now).Plus(l.otherAnswers).Took
+	return l.tally.Sample(now).Merge(l.otherAnswers).Latency
 }
 
 // ownAnswers returns what this VM saw of the target's answers.
@@ -281,13 +281,13 @@
 
 // updateVerdict updates the verdict on the target; peers is the usual share of failures in
 // its service.
-func (l *load) updateVerdict(now time.Time, peers float64, trials bool) (changed bool, verdict answer.Verdict, e answer.Evidence) {
+func (l *load) updateVerdict(now time.Time, peers float64, trials bool) (changed bool, verdict answer.Health, e answer.Observations) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e = answer.Evidence{
-		Target: l.tally.Sample(now).Plus(l.otherAnswers), Peers: peers, Callers: l.tally.Callers(now) | l.otherCallers,
+	e = answer.Observations{
+		Target: l.tally.Sample(now).Merge(l.otherAnswers), PeerFailureRate: peers, FailedCallers: l.tally.FailedCallers(now) | l.otherCallers,
 	}
-	changed = l.verdict.Judge(now, e)
+	changed = l.verdict.Update(now, e)
 	if !trials && l.verdict.State == answer.OnTrial {
 		l.verdict.State, l.verdict.Penalty = answer.Trusted, 0
 	}
--- a/core/token/choose_test.go
+++ b/core/token/choose_test.go
@@ -194,7 +194,7 @@
 		s.Seq, s.Acked, s.Size = seq, acked, size
 		handle(r, start.Add(time.Duration(ms)*time.Millisecond), s)
 	}
-	took := func() time.Duration { return r.current.Load().targets[3].load.ownAnswers(start).Took }
+	took := func() time.Duration { return r.current.Load().targets[3].load.ownAnswers(start).Latency }
 	at(4, 1001, 50, 100)
 	at(34, 1101, 650, 0)
 	at(5000, 1101, 650, 100)
--- a/core/token/event.go
+++ b/core/token/event.go
@@ -140,7 +140,7 @@
 }
 
 // recordVerdict records a change of the verdict on a target, with its evidence.
-func (r *Router) recordVerdict(now time.Time, s *snapshot, t *target, state answer.State, evidence answer.Evidence) {
+func (r *Router) recordVerdict(now time.Time, s *snapshot, t *target, state answer.State, evidence answer.Observations) {
 	kind := EventTrusted
 	switch state {
 	case answer.Failing:
@@ -154,7 +154,7 @@
 	}
 	e := r.newEvent(now, kind, s, nil, t, nil)
 	e.Answers, e.Failed = evidence.Target.Answers, evidence.Target.Failed
-	e.PeerFailureShare, e.FailedCallers = evidence.Peers, evidence.Callers.Count()
+	e.PeerFailureShare, e.FailedCallers = evidence.PeerFailureRate, evidence.FailedCallers.Count()
 	r.options.Record(now, e)
 }
 
--- a/core/token/load.go
+++ b/core/token/load.go
@@ -34,10 +34,10 @@
 	health        health
 	// tally counts the outcomes of requests that this VM sent; otherAnswers and
 	// otherCallers are those reported by other VMs of the data centre.
-	tally        answer.Tally
+	tally        answer.TargetCounter
 	otherAnswers answer.Sample
-	otherCallers answer.Callers
-	verdict      answer.Verdict
+	otherCallers answer.CallerSet
+	verdict      answer.Health
 	// nextTrial is when a target on trial may get its next flow.
 	nextTrial time.Time
 	coldState coldState
@@ -64,7 +64,7 @@
 	report.Requests, _ = l.requests(now)
 	sample, callers, notable := l.answerReport(now, mean)
 	if notable {
-		report.Answers, report.Failed, report.Took, report.Callers = sample.Answers, sample.Failed, sample.Took, uint16(callers)
+		report.Answers, report.Failed, report.Took, report.Callers = sample.Answers, sample.Failed, sample.Latency, uint16(callers)
 	}
 	active = report.Requests >= minReportedRequests || sample.Answers >= minReportedFailures || report.Unanswered > 0 || report.Disputed
 	return report, active
@@ -90,13 +90,13 @@
 func (l *load) assess(now time.Time) assessment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answers := l.tally.Sample(now).Plus(l.otherAnswers)
+	answers := l.tally.Sample(now).Merge(l.otherAnswers)
 	onTrial := l.verdict.State == answer.OnTrial
 	suspect, needsProbe := l.health.status(now)
 	return assessment{
 		suspect: suspect, needsProbe: needsProbe,
 		ownRequests: l.ownRequests.read(now), otherRequests: l.otherRequests,
-		answerTime: answers.Took.Seconds(), answers: answers.Answers - answers.Failed,
+		answerTime: answers.Latency.Seconds(), answers: answers.Answers - answers.Failed,
 		penalty: l.verdict.Penalty, onTrial: onTrial, trialDue: onTrial && !now.Before(l.nextTrial),
 	}
 }
@@ -125,15 +125,15 @@
 
 // answerReport returns what to report to other VMs of the target's answers, and whether it
 // deviates enough to be reported. mean is the mean answer time of its service.
-func (l *load) answerReport(now time.Time, mean time.Duration) (s answer.Sample, callers answer.Callers, notable bool) {
+func (l *load) answerReport(now time.Time, mean time.Duration) (s answer.Sample, callers answer.CallerSet, notable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s = l.tally.Sample(now)
 	deviates := false
-	if answered := s.Answers - s.Failed; answered >= 1 && mean > 0 && s.Took > 0 {
-		deviates = math.Abs(math.Log(s.Took.Seconds()/mean.Seconds())) > max(minReportedLogRatio, singleAnswerLogRatio/math.Sqrt(answered))
+	if answered := s.Answers - s.Failed; answered >= 1 && mean > 0 && s.Latency > 0 {
+		deviates = math.Abs(math.Log(s.Latency.Seconds()/mean.Seconds())) > max(minReportedLogRatio, singleAnswerLogRatio/math.Sqrt(answered))
 	}
-	return s, l.tally.Callers(now), s.Failed >= minReportedFailures || deviates
+	return s, l.tally.FailedCallers(now), s.Failed >= minReportedFailures || deviates
 }
 
 // minReportedFailures is the weight of failures below which none are reported.
@@ -232,7 +232,7 @@
 	if c.value == 0 {
 		return 0 // true of most targets in a large fleet
 	}
-	return c.value * fade.Left(now.Sub(c.at), loadWindow)
+	return c.value * fade.Factor(now.Sub(c.at), loadWindow)
 }
 
 func (c *decayingCounter) add(now time.Time, n float64) {
@@ -276,8 +276,8 @@
 		l.markActive()
 	}
 	l.otherRequests = report.Requests
-	l.otherAnswers = answer.Sample{Answers: report.Answers, Failed: report.Failed, Took: report.Took}
-	l.otherCallers = answer.Callers(report.Callers)
+	l.otherAnswers = answer.Sample{Answers: report.Answers, Failed: report.Failed, Latency: report.Took}
+	l.otherCallers = answer.CallerSet(report.Callers)
 	return l.health.setSilence(report)
 }
 
--- a/core/token/snapshot.go
+++ b/core/token/snapshot.go
@@ -52,7 +52,7 @@
 	ordinary bool
 	aim      time.Duration
 	// answerSizes learns the usual sizes of the answers to the rule's requests.
-	answerSizes *answer.Sizes
+	answerSizes *answer.SizeHistogram
 	shares      []baobabstep.Share
 	totalWeight uint32
 	// services are the services at which flows of the address may be, with the time until
@@ -89,7 +89,7 @@
 }
 
 func newRule(from *baobabstep.Rule) *rule {
-	r := &rule{name: from.Name, repeatable: from.Repeatable, aim: from.Aim, answerSizes: new(answer.Sizes), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
+	r := &rule{name: from.Name, repeatable: from.Repeatable, aim: from.Aim, answerSizes: new(answer.SizeHistogram), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
 	for _, share := range from.Shares {
 		r.totalWeight += share.Weight
 		r.services[share.Service] = noExpiry
--- a/core/token/token.go
+++ b/core/token/token.go
@@ -29,6 +29,6 @@
 // target, two of 26,000 targets would almost certainly collide, for all their flows.
 // Because the flow is mixed in, two targets collide only for one flow in 2^32.
 func tokenFor(h flowHash, id baobabstep.TargetID) uint32 {
-	x := mix.Bits(uint64(h) ^ uint64(id)*0x9e3779b97f4a7c15)
+	x := mix.Uint64(uint64(h) ^ uint64(id)*0x9e3779b97f4a7c15)
 	return max(1, uint32(x>>32))
 }
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -140,7 +140,7 @@
 		c.port = firstPort
 	}
 	key := baobabstep.FlowKey{Caller: netip.AddrPortFrom(c.address, port), Service: c.world.addresses[class]}
-	f := &flow{caller: c, class: class, key: key, seq: uint32(mix.Bits(flowHash(key)))}
+	f := &flow{caller: c, class: class, key: key, seq: uint32(mix.Uint64(flowHash(key)))}
 	c.flows[port] = f
 	return f
 }
@@ -233,7 +233,7 @@
 		return
 	}
 	f.opened, f.token = true, token
-	f.acked = uint32(mix.Bits(uint64(t.id)+uint64(f.seq))) + 1
+	f.acked = uint32(mix.Uint64(uint64(t.id)+uint64(f.seq))) + 1
 	if f.attempt != nil {
 		f.ask(f.attempt)
 	}
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -4,7 +4,7 @@
 //
 // Callers, fabric, targets and links are small models; the decisions between
 // them are the fleet's own: each VM is a real [token.Router] and a real
-// [heartbeat.Board].
+// [heartbeat.PeerTable].
 //
 //	callers -> fabric -> VM (router, board) -> targets
 //	   ^                  ^-- heartbeats --^      |
--- a/emulator/fabric.go
+++ b/emulator/fabric.go
@@ -67,7 +67,7 @@
 		if !all && !v.rotated {
 			continue
 		}
-		if weight := mix.Bits(hash ^ v.salt); best == nil || weight > most {
+		if weight := mix.Uint64(hash ^ v.salt); best == nil || weight > most {
 			best, most = v, weight
 		}
 	}
@@ -79,7 +79,7 @@
 	if all {
 		count = uint64(len(vms))
 	}
-	at := mix.Bits(flowHash(key)) % count
+	at := mix.Uint64(flowHash(key)) % count
 	for _, v := range vms {
 		if !all && !v.rotated {
 			continue
--- a/emulator/vm.go
+++ b/emulator/vm.go
@@ -32,7 +32,7 @@
 	at     netip.AddrPort
 
 	router *token.Router
-	board  *heartbeat.Board
+	board  *heartbeat.PeerTable
 	// run counts starts; what was to come in an earlier run does not.
 	run int
 
@@ -59,7 +59,7 @@
 func newVM(w *World, site, number int) *vm {
 	name := fmt.Sprintf("vm-%s-%d", w.deployment.DataCentres[site].Name, number)
 	return &vm{
-		world: w, site: site, number: number, name: name, salt: mix.Bits(uint64(baobabstep.MakeVMID(name))), slow: 1,
+		world: w, site: site, number: number, name: name, salt: mix.Uint64(uint64(baobabstep.MakeVMID(name))), slow: 1,
 		at:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(site + 1), byte(200 + number>>8), byte(number)}), 7000),
 		processor: processor{share: w.deployment.DataCentres[site].share(number - 1)},
 	}
@@ -72,14 +72,14 @@
 	v.up, v.listening, v.leaving, v.held = true, false, false, nil
 	v.poweredAt, v.frozenUntil = w.now, w.now
 	v.processor.restart(w.now)
-	seed := mix.Bits(w.seed ^ v.salt ^ uint64(v.run))
+	seed := mix.Uint64(w.seed ^ v.salt ^ uint64(v.run))
 	v.router = token.New(w.options(token.Options{
 		DataCentre: w.deployment.DataCentres[v.site].Name, Rand: rand.New(rand.NewPCG(seed, 1)),
 		ColdOvershoot: coldOvershoot, ColdSlack: coldSlack,
 	}))
 	v.board = heartbeat.New(w.time(), heartbeat.Options{
 		Self: baobabstep.MakeVMID(v.name), DataCentre: w.deployment.DataCentres[v.site].Name, Address: v.at,
-		Life: uint64(w.time().UnixMilli()), Seeds: w.seeds(), Rand: rand.New(rand.NewPCG(seed, 2)),
+		Incarnation: uint64(w.time().UnixMilli()), Seeds: w.seeds(), Rand: rand.New(rand.NewPCG(seed, 2)),
 	})
 	v.later(v.work(startWork), v.listen)
 	v.later(time.Duration(w.luck.Int64N(int64(tickInterval))), v.tick)
@@ -164,20 +164,20 @@
 			v.reset(f)
 		}
 	}
-	if v.board.Due(now) {
+	if v.board.HeartbeatsDue(now) {
 		v.sendAll(v.board.Tick(now, v.own(now)))
 	}
 	v.takeOthers(now)
 	v.tellTrouble(now)
 }
 
-func (v *vm) own(now time.Time) heartbeat.Own {
-	return heartbeat.Own{Loads: v.router.Reports(now)}
+func (v *vm) own(now time.Time) heartbeat.LocalState {
+	return heartbeat.LocalState{Loads: v.router.Reports(now)}
 }
 
 func (v *vm) takeOthers(now time.Time) {
-	v.board.Repeat(v.router.TakeNewTargets())
-	v.router.SetReports(now, v.board.Loads(now), v.board.Live(now))
+	v.board.MarkLoadsChanged(v.router.TakeNewTargets())
+	v.router.SetReports(now, v.board.Loads(now), v.board.LiveCounts(now))
 	v.router.SetView(v.board.View(now))
 }
 
@@ -189,7 +189,7 @@
 	select {
 	case <-v.router.UrgentReportsPending():
 		v.toldAt = v.world.now
-		v.sendAll(v.board.Alarm(now, v.router.TakeUrgentReports(now)))
+		v.sendAll(v.board.MakeAlarms(now, v.router.TakeUrgentReports(now)))
 	default:
 	}
 }
@@ -244,7 +244,7 @@
 }
 
 // sendAll sends messages to other VMs.
-func (v *vm) sendAll(outs []heartbeat.Out) {
+func (v *vm) sendAll(outs []heartbeat.Outgoing) {
 	w := v.world
 	var last *heartbeat.Message
 	size := 0
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -135,7 +135,7 @@
 }
 
 func (w *World) addTarget(s *Service, site int) *target {
-	id := baobabstep.TargetID(mix.Bits(w.seed+uint64(len(w.order))*7919+1)>>24 | 1)
+	id := baobabstep.TargetID(mix.Uint64(w.seed+uint64(len(w.order))*7919+1)>>24 | 1)
 	t := &target{world: w, id: id, life: 1, service: s, site: site, slow: 1, holds: make(map[*flow]bool), hung: make(map[*flow]*job)}
 	w.targets[id] = t
 	w.order = append(w.order, t)
--- a/entry/belief.go
+++ b/entry/belief.go
@@ -24,7 +24,7 @@
 	outdatedCount map[string]uint64
 
 	mu     sync.Mutex
-	states [heartbeat.Kinds]cachedState
+	states [heartbeat.NumKinds]cachedState
 	// era is the newest era of the store that is known. restoredAt is when it replaced an
 	// earlier era, or zero if it never did.
 	era        uint64
@@ -73,7 +73,7 @@
 func newStateCache(router *token.Router, logger log.Interface, limits LogLimiter) *stateCache {
 	return &stateCache{
 		router: router, log: logger, limits: limits, outdatedCount: make(map[string]uint64), restoredSignal: make(chan struct{}, 1),
-		targets: heartbeat.NoRegistrations(),
+		targets: heartbeat.EmptyRegistrations(),
 	}
 }
 
@@ -138,9 +138,9 @@
 		return false, nil, err
 	}
 	sc.router.SetTable(now, table)
-	next := cachedState{revision: revision, sum: heartbeat.Sum(content), content: content, confirmedAt: from.confirmedAt, unconfirmed: from.fromCopy}
+	next := cachedState{revision: revision, sum: heartbeat.Checksum(content), content: content, confirmedAt: from.confirmedAt, unconfirmed: from.fromCopy}
 	if sc.table != nil {
-		change = heartbeat.RoutesChange(sc.table, table, cached.sum, next.announced(now))
+		change = heartbeat.NewRoutesChange(sc.table, table, cached.sum, next.announced(now))
 	}
 	sc.table, *cached = table, next
 	sc.log.WithFields(log.Fields{
@@ -165,7 +165,7 @@
 	known := sc.states[heartbeat.Targets].isKnown() || sc.states[heartbeat.Evacuations].isKnown()
 	sc.states[kind].revision = to
 	if kind == heartbeat.Targets {
-		sc.history.Move(to)
+		sc.history.Advance(to)
 	}
 	if to.Era <= sc.era {
 		return
@@ -199,18 +199,18 @@
 		}
 	}
 	first := !cached.isKnown()
-	if !sc.needsUpdate(now, heartbeat.Targets, next.Sum(), revision, from) {
+	if !sc.needsUpdate(now, heartbeat.Targets, next.Checksum(), revision, from) {
 		return false, nil, nil
 	}
 	var d heartbeat.Difference
 	if !first {
-		d = sc.targets.To(next)
+		d = sc.targets.DiffTo(next)
 		sc.history.Add(cached.revision, revision, d)
 	}
 	sc.targets = next
-	oldSum := sc.setContent(now, heartbeat.Targets, next.Sum(), revision, from)
+	oldSum := sc.setContent(now, heartbeat.Targets, next.Checksum(), revision, from)
 	if !first {
-		change = heartbeat.TargetsChange(d, oldSum, cached.announced(now))
+		change = heartbeat.NewTargetsChange(d, oldSum, cached.announced(now))
 	}
 	sc.pendingSections, sc.sectionsMissing = heartbeat.Difference{}, false
 	sc.router.SetRegistrations(now, list)
@@ -290,7 +290,7 @@
 	if err != nil {
 		return false, nil, err
 	}
-	return true, heartbeat.TargetsChange(d, oldSum, cached.announced(now)), nil
+	return true, heartbeat.NewTargetsChange(d, oldSum, cached.announced(now)), nil
 }
 
 // netDifference returns the net effect on the cached targets of changes in the order in which
@@ -306,7 +306,7 @@
 		old, exists := sc.targets.Get(id)
 		switch c := latest[id]; {
 		case c.Gone && exists:
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		case !c.Gone && (!exists || old != c.Registration):
 			d.Put = append(d.Put, c.Registration)
 		}
@@ -323,8 +323,8 @@
 	sc.applyPendingSections(now)
 	sc.sectionsMissing = false
 	sc.history.Add(sc.states[heartbeat.Targets].revision, revision, d)
-	oldSum = sc.setContent(now, heartbeat.Targets, sc.targets.Sum(), revision, from)
-	sc.router.ChangeRegistrations(now, d.Put, d.Gone)
+	oldSum = sc.setContent(now, heartbeat.Targets, sc.targets.Checksum(), revision, from)
+	sc.router.ChangeRegistrations(now, d.Put, d.Removed)
 	sc.logTargetsChanged(from)
 	return oldSum, nil
 }
@@ -344,14 +344,14 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	cached := &sc.states[heartbeat.Targets]
-	if !cached.isKnown() || !cached.revision.Before(c.To.Revision()) {
+	if !cached.isKnown() || !cached.revision.Before(c.Result.Revision()) {
 		return false, nil
 	}
 	d, err := c.Difference(sc.targets)
 	if err != nil {
 		return false, err
 	}
-	_, err = sc.applyDifference(now, d, c.To.Revision(), from)
+	_, err = sc.applyDifference(now, d, c.Result.Revision(), from)
 	return err == nil, err
 }
 
@@ -386,7 +386,7 @@
 	if !ok {
 		return nil
 	}
-	return heartbeat.TargetsChange(d, sum, sc.states[heartbeat.Targets].announced(now))
+	return heartbeat.NewTargetsChange(d, sum, sc.states[heartbeat.Targets].announced(now))
 }
 
 func (cs *cachedState) confirm(at time.Time) {
@@ -427,7 +427,7 @@
 }
 
 // announcedStates returns what heartbeats announce about the cached state of each kind.
-func (sc *stateCache) announcedStates(now time.Time) (held [heartbeat.Kinds]heartbeat.Held) {
+func (sc *stateCache) announcedStates(now time.Time) (held [heartbeat.NumKinds]heartbeat.VersionInfo) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	for kind := range held {
@@ -441,10 +441,10 @@
 // until it caught up.
 const copyRevisionNumber = 1
 
-func (cs *cachedState) announced(now time.Time) heartbeat.Held {
+func (cs *cachedState) announced(now time.Time) heartbeat.VersionInfo {
 	revision := cs.revision
 	if cs.revisionFromCopy {
 		revision.Number = copyRevisionNumber
 	}
-	return heartbeat.MakeHeld(revision, cs.sum, now.Sub(cs.confirmedAt))
+	return heartbeat.MakeVersionInfo(revision, cs.sum, now.Sub(cs.confirmedAt))
 }
--- a/entry/change_bench_test.go
+++ b/entry/change_bench_test.go
@@ -28,7 +28,7 @@
 		qt.Assert(b, err, qt.IsNil)
 	}
 	peer := peerAddress(3) // a VM of the same data centre
-	receiver.receive(benchEpoch, peer, encodeHeartbeat(b, &heartbeat.Heartbeat{From: 9, DataCentre: "dc-0", Life: 1, Number: 1}))
+	receiver.receive(benchEpoch, peer, encodeHeartbeat(b, &heartbeat.Heartbeat{From: 9, DataCentre: "dc-0", Incarnation: 1, Sequence: 1}))
 	b.ResetTimer()
 	for i := range b.N {
 		b.StopTimer()
--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -9,7 +9,7 @@
 )
 
 // handleWant sends the requested content to a peer if this VM holds a newer revision.
-func (n *Node) handleWant(now time.Time, from netip.AddrPort, w *heartbeat.Want) {
+func (n *Node) handleWant(now time.Time, from netip.AddrPort, w *heartbeat.Request) {
 	if !w.Revision().Before(n.cache.state(w.Kind).revision) {
 		return
 	}
@@ -20,7 +20,7 @@
 	if !n.canServe(now, from) {
 		return // the requester asks another VM, or this one again; preparing the content costs more than the request
 	}
-	if w.Kind == heartbeat.Targets && (w.Sum != 0 && n.sendChange(now, from, w) || n.sendSections(now, from, w)) {
+	if w.Kind == heartbeat.Targets && (w.Checksum != 0 && n.sendChange(now, from, w) || n.sendSections(now, from, w)) {
 		return
 	}
 	cached, err := n.cache.stateWithContent(w.Kind)
@@ -31,7 +31,7 @@
 	if !n.reserveServe(now, from, len(cached.content)) {
 		return // the requester asks another VM, or this one again, at the next heartbeat
 	}
-	pieces, err := heartbeat.Split(w.Kind, cached.announced(now), cached.content)
+	pieces, err := heartbeat.SplitChunks(w.Kind, cached.announced(now), cached.content)
 	if err != nil {
 		n.log.WithError(err).Error("cannot send content to a peer")
 		return
@@ -44,8 +44,8 @@
 // sendChange answers a request with the changes since the requested revision. It returns false
 // if they are unknown or too large to send; it returns true without sending if the rate limit
 // is reached.
-func (n *Node) sendChange(now time.Time, to netip.AddrPort, w *heartbeat.Want) bool {
-	change := n.cache.targetsChangeSince(now, w.Revision(), w.Sum)
+func (n *Node) sendChange(now time.Time, to netip.AddrPort, w *heartbeat.Request) bool {
+	change := n.cache.targetsChangeSince(now, w.Revision(), w.Checksum)
 	if change == nil {
 		return false
 	}
@@ -78,7 +78,7 @@
 // returns false if the request has no digests, if they are equal although the contents differ,
 // or if a section exceeds the message limit; it returns true without sending if the rate limit
 // is reached.
-func (n *Node) sendSections(now time.Time, to netip.AddrPort, w *heartbeat.Want) bool {
+func (n *Node) sendSections(now time.Time, to netip.AddrPort, w *heartbeat.Request) bool {
 	if len(w.Digests) == 0 {
 		return false
 	}
@@ -108,7 +108,7 @@
 // handleSection applies a section from a peer. At the end of a response it requests the
 // sections that are still missing.
 func (n *Node) handleSection(now time.Time, s *heartbeat.Section) {
-	from := n.peerOrigin(now, s.Held, n.options.Settings.Token.Drain())
+	from := n.peerOrigin(now, s.VersionInfo, n.options.Settings.Token.Drain())
 	taken, complete, err := n.cache.applySection(now, s, from)
 	switch {
 	case err != nil:
@@ -123,7 +123,7 @@
 
 // peerOrigin returns the origin of content from a peer. If the peer's content was last
 // confirmed at least maxAge ago, it counts as read from a copy of the store.
-func (n *Node) peerOrigin(now time.Time, held heartbeat.Held, maxAge time.Duration) origin {
+func (n *Node) peerOrigin(now time.Time, held heartbeat.VersionInfo, maxAge time.Duration) origin {
 	return origin{source: sourcePeer, confirmedAt: now.Add(-held.Age()), fromCopy: held.Age() >= maxAge}
 }
 
@@ -163,7 +163,7 @@
 
 // handlePiece adds a piece of content from a peer, and applies the content once it is
 // complete.
-func (n *Node) handlePiece(now time.Time, p *heartbeat.Piece) {
+func (n *Node) handlePiece(now time.Time, p *heartbeat.Chunk) {
 	n.exchange.mu.Lock()
 	content, held, complete := n.exchange.assembly[p.Kind].Add(now, p)
 	n.exchange.mu.Unlock()
@@ -192,17 +192,17 @@
 // handleChange applies a change from a peer. It ignores a change that is based on other
 // content: the sender's next heartbeat makes this VM request the full content.
 func (n *Node) handleChange(now time.Time, from netip.AddrPort, c *heartbeat.Change) {
-	if !n.cache.state(c.Kind).revision.Before(c.To.Revision()) {
+	if !n.cache.state(c.Kind).revision.Before(c.Result.Revision()) {
 		return
 	}
-	if c.Kind == heartbeat.Targets && c.From == n.cache.state(c.Kind).sum {
+	if c.Kind == heartbeat.Targets && c.BaseChecksum == n.cache.state(c.Kind).sum {
 		n.notifyStoreRecovery(now)
 	}
-	changed, err := n.cache.applyPeerChange(now, c, origin{source: sourcePeer, confirmedAt: now.Add(-c.To.Age())})
+	changed, err := n.cache.applyPeerChange(now, c, origin{source: sourcePeer, confirmedAt: now.Add(-c.Result.Age())})
 	switch {
 	case baobabstep.CodeOf(err) == baobabstep.CodeConflict:
 		n.counters.conflictingChanges.Add(1)
-		if c.Kind == heartbeat.Targets && c.From == n.cache.state(c.Kind).sum {
+		if c.Kind == heartbeat.Targets && c.BaseChecksum == n.cache.state(c.Kind).sum {
 			n.setWantFullList(true)
 		}
 		return
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -20,7 +20,7 @@
 // into a data centre that is being emptied.
 func (sc *stateCache) updateEvacuations(now time.Time, dataCentres []string, revision baobabstep.Revision, from origin) (changed, first bool, err error) {
 	list := slices.Sorted(slices.Values(dataCentres))
-	sum, err := heartbeat.EvacuationsSum(list)
+	sum, err := heartbeat.EvacuationsChecksum(list)
 	if err != nil {
 		return false, false, err
 	}
@@ -166,7 +166,7 @@
 // with remote set, to one VM of each other data centre.
 func (n *Node) distributeEvacuations(remote bool) {
 	now := n.clock.Now()
-	n.sendEvacuations(now, n.board.Spread(now, remote)...)
+	n.sendEvacuations(now, n.board.ChangeRecipients(now, remote)...)
 }
 
 func (n *Node) sendEvacuations(now time.Time, to ...netip.AddrPort) {
@@ -176,21 +176,21 @@
 		return
 	}
 	m := &heartbeat.Message{Evacuations: list}
-	outs := make([]heartbeat.Out, len(to))
+	outs := make([]heartbeat.Outgoing, len(to))
 	for i := range to {
-		outs[i] = heartbeat.Out{To: to[i], Message: m}
+		outs[i] = heartbeat.Outgoing{To: to[i], Message: m}
 	}
 	n.sendAll(outs)
 }
 
 // handleEvacuations applies the list of a peer.
 func (n *Node) handleEvacuations(now time.Time, from netip.AddrPort, e *heartbeat.EvacuationList) {
-	sum, err := heartbeat.EvacuationsSum(e.DataCentres)
-	if err != nil || sum != e.Held.Sum {
+	sum, err := heartbeat.EvacuationsChecksum(e.DataCentres)
+	if err != nil || sum != e.VersionInfo.Checksum {
 		n.counters.malformed.Add(1)
 		return
 	}
-	changed, err := n.applyEvacuations(now, e.DataCentres, e.Held.Revision(), origin{source: sourcePeer, confirmedAt: now.Add(-e.Held.Age())})
+	changed, err := n.applyEvacuations(now, e.DataCentres, e.VersionInfo.Revision(), origin{source: sourcePeer, confirmedAt: now.Add(-e.VersionInfo.Age())})
 	if err != nil {
 		n.counters.malformed.Add(1)
 		return
--- a/entry/heartbeat_bench_test.go
+++ b/entry/heartbeat_bench_test.go
@@ -63,8 +63,8 @@
 		}
 		number++
 		h := &heartbeat.Heartbeat{
-			From: baobabstep.VMID(from + 1), DataCentre: fmt.Sprintf("dc-%d", from%3), Life: 1, Number: number,
-			Held: [2]heartbeat.Held(held[:2]), HeldEvacuations: held[heartbeat.Evacuations], Loads: heartbeat.MakeLoads(now, randomWindow(rng, loads), benchLoads),
+			From: baobabstep.VMID(from + 1), DataCentre: fmt.Sprintf("dc-%d", from%3), Incarnation: 1, Sequence: number,
+			Versions: [2]heartbeat.VersionInfo(held[:2]), EvacuationsVersion: held[heartbeat.Evacuations], Loads: heartbeat.MakeLoads(now, randomWindow(rng, loads), benchLoads),
 		}
 		raw := encodeHeartbeat(b, h)
 		b.StartTimer()
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -132,7 +132,7 @@
 
 func (n *Node) readPeers() map[string]float64 {
 	peers := make(map[string]float64)
-	for name, vms := range n.board.Live(n.clock.Now()) {
+	for name, vms := range n.board.LiveCounts(n.clock.Now()) {
 		peers[name] = float64(vms)
 	}
 	return peers
--- a/entry/model_test.go
+++ b/entry/model_test.go
@@ -249,7 +249,7 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.store.table, m.store.tableAt, m.tables[version] = table, m.now, heartbeat.Sum(content)
+	m.store.table, m.store.tableAt, m.tables[version] = table, m.now, heartbeat.Checksum(content)
 }
 
 func (m *model) changeTargets() {
@@ -404,7 +404,7 @@
 		m.t.Fatalf("VM %d holds version %d, %v after %d was accepted", vm.index, held.revision.Number, m.now.Sub(m.store.tableAt), m.store.table.Version)
 	}
 	evacuations := vm.node.cache.state(heartbeat.Evacuations)
-	if want, err := heartbeat.EvacuationsSum(m.store.evacuated); err != nil || evacuations.sum != want && m.now.Sub(m.store.evacuatedAt) > freshnessBound {
+	if want, err := heartbeat.EvacuationsChecksum(m.store.evacuated); err != nil || evacuations.sum != want && m.now.Sub(m.store.evacuatedAt) > freshnessBound {
 		m.t.Fatalf("VM %d holds old evacuations %v after they changed (%v)", vm.index, m.now.Sub(m.store.evacuatedAt), err)
 	}
 	targets := vm.node.cache.state(heartbeat.Targets)
@@ -412,7 +412,7 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	if targets.sum != stored.Sum() && m.now.Sub(m.store.targetsAt) > freshnessBound {
+	if targets.sum != stored.Checksum() && m.now.Sub(m.store.targetsAt) > freshnessBound {
 		m.t.Fatalf("VM %d holds old registrations %v after they changed", vm.index, m.now.Sub(m.store.targetsAt))
 	}
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -76,14 +76,14 @@
 	clock     baobabstep.Clock
 	router    *token.Router
 	cache     *stateCache
-	board     *heartbeat.Board
+	board     *heartbeat.PeerTable
 	exchange  peerExchange
 	syncer    *storeSyncer
 	counters  counters
 	startedAt time.Time
 	stopping  atomic.Bool
 	// storeUnreadable is set for a kind while the store cannot be read.
-	storeUnreadable [heartbeat.Kinds]atomic.Bool
+	storeUnreadable [heartbeat.NumKinds]atomic.Bool
 	observers       atomic.Pointer[observers]
 	// lastPacket is when the fabric last sent a packet, in nanoseconds since the start.
 	lastPacket atomic.Int64
@@ -118,7 +118,7 @@
 	n.cache = newStateCache(n.router, n.log, o.LogLimiter)
 	n.board = heartbeat.New(n.startedAt, heartbeat.Options{
 		Self: o.Settings.VM().ID, DataCentre: o.Settings.DataCentre, Address: o.Settings.PeerAddress,
-		Life: uint64(n.startedAt.UnixMilli()), Seeds: o.Settings.Seeds,
+		Incarnation: uint64(n.startedAt.UnixMilli()), Seeds: o.Settings.Seeds,
 		Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())),
 	})
 	n.syncer = &storeSyncer{node: n, directory: o.Directory, uniformSpread: o.Rand.Float64(), expSpread: exponentialSpread(o.Rand.Float64())}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -48,13 +48,13 @@
 // exchanged with them.
 type peerExchange struct {
 	mu         sync.Mutex
-	assembly   [heartbeat.Kinds]heartbeat.Assembly
+	assembly   [heartbeat.NumKinds]heartbeat.ChunkAssembly
 	fragments  heartbeat.FragmentAssembly
-	lastWantAt [heartbeat.Kinds]time.Time
+	lastWantAt [heartbeat.NumKinds]time.Time
 	// outdated is the held revision of a kind for which a peer has a newer one, and
 	// outdatedSince is when this VM first received an announcement of a newer one.
-	outdated      [heartbeat.Kinds]baobabstep.Revision
-	outdatedSince [heartbeat.Kinds]time.Time
+	outdated      [heartbeat.NumKinds]baobabstep.Revision
+	outdatedSince [heartbeat.NumKinds]time.Time
 	// wantFullList is set when a change to the held targets did not give the expected
 	// checksum, to request the whole list.
 	wantFullList bool
@@ -142,10 +142,10 @@
 	switch {
 	case m.Heartbeat != nil:
 		n.handleHeartbeat(now, from, m.Heartbeat)
-	case m.Want != nil:
-		n.handleWant(now, from, m.Want)
-	case m.Piece != nil:
-		n.handlePiece(now, m.Piece)
+	case m.Request != nil:
+		n.handleWant(now, from, m.Request)
+	case m.Chunk != nil:
+		n.handlePiece(now, m.Chunk)
 	case m.Change != nil:
 		n.handleChange(now, from, m.Change)
 	case m.Evacuations != nil:
@@ -176,7 +176,7 @@
 // compareOrder is the order in which a VM requests the kinds that it lacks. Evacuations come
 // first, so that a VM that has just started knows the evacuated data centres before it can
 // place flows.
-var compareOrder = [heartbeat.Kinds]heartbeat.Kind{heartbeat.Evacuations, heartbeat.Routes, heartbeat.Targets}
+var compareOrder = [heartbeat.NumKinds]heartbeat.Kind{heartbeat.Evacuations, heartbeat.Routes, heartbeat.Targets}
 
 // handleHeartbeat confirms state that the sender also holds, and requests state of which the
 // sender announces a newer revision.
@@ -188,7 +188,7 @@
 		n.compareHeld(now, kind, h)
 	}
 	if n.board.HasNewPeers() {
-		n.sendAll(n.board.AnswerNewPeers(now, heartbeat.Own{Leaving: n.stopping.Load(), Blind: n.isStoreUnreadable(), Held: n.cache.announcedStates(now)}))
+		n.sendAll(n.board.AnswerNewPeers(now, heartbeat.LocalState{Leaving: n.stopping.Load(), StoreUnreadable: n.isStoreUnreadable(), Versions: n.cache.announcedStates(now)}))
 	}
 }
 
@@ -196,13 +196,13 @@
 // newer revision is requested.
 func (n *Node) compareHeld(now time.Time, kind heartbeat.Kind, h *heartbeat.Heartbeat) {
 	cached := n.cache.state(kind)
-	if age, same := h.Vouches(kind, cached.sum); same {
+	if age, same := h.ConfirmedAge(kind, cached.sum); same {
 		if cached.isKnown() {
-			n.cache.confirmByPeer(now, kind, h.HeldOf(kind).Revision(), now.Add(-age))
+			n.cache.confirmByPeer(now, kind, h.VersionOf(kind).Revision(), now.Add(-age))
 		}
 		return
 	}
-	if !cached.revision.Before(h.HeldOf(kind).Revision()) {
+	if !cached.revision.Before(h.VersionOf(kind).Revision()) {
 		return
 	}
 	if !n.allowWant(now, kind, cached.revision) {
@@ -214,18 +214,18 @@
 // sendWant requests a kind from a VM that holds a newer revision of it, if there is one.
 func (n *Node) sendWant(now time.Time, kind heartbeat.Kind) {
 	cached := n.cache.state(kind)
-	source, ok := n.board.Newer(now, kind, cached.revision, cached.sum)
+	source, ok := n.board.FindNewer(now, kind, cached.revision, cached.sum)
 	if !ok {
 		return
 	}
-	want := heartbeat.MakeWant(kind, cached.revision)
+	want := heartbeat.MakeRequest(kind, cached.revision)
 	if kind == heartbeat.Targets {
 		want.Digests = n.cache.digests()
 		if cached.isKnown() && !n.wantsFullList() {
-			want.Sum = cached.sum
+			want.Checksum = cached.sum
 		}
 	}
-	n.sendMessage(source, &heartbeat.Message{Want: want})
+	n.sendMessage(source, &heartbeat.Message{Request: want})
 }
 
 // wantsFullList reports whether a change of targets did not apply, so that the next request
@@ -267,12 +267,12 @@
 // tickHeartbeats sends the heartbeats that are due, and passes the loads that peers announced
 // to the router.
 func (n *Node) tickHeartbeats(now time.Time) {
-	if n.board.Due(now) {
+	if n.board.HeartbeatsDue(now) {
 		n.sendAll(n.board.Tick(now, n.ownState(now)))
 	}
 	n.requestMissingSections(now)
-	live := n.board.Live(now)
-	n.board.Repeat(n.router.TakeNewTargets())
+	live := n.board.LiveCounts(now)
+	n.board.MarkLoadsChanged(n.router.TakeNewTargets())
 	n.router.SetReports(now, n.board.Loads(now), live)
 	if n.router.HasColdLimits() {
 		n.router.SetView(n.board.View(now))
@@ -283,17 +283,17 @@
 
 // sendAlarm sends the targets in trouble to the VMs of the own data centre.
 func (n *Node) sendAlarm(now time.Time) {
-	n.sendAll(n.board.Alarm(now, n.router.TakeUrgentReports(now)))
+	n.sendAll(n.board.MakeAlarms(now, n.router.TakeUrgentReports(now)))
 }
 
-func (n *Node) ownState(now time.Time) heartbeat.Own {
-	return heartbeat.Own{
-		Leaving: n.stopping.Load(), Blind: n.isStoreUnreadable(),
-		Held: n.cache.announcedStates(now), Loads: n.router.Reports(now),
+func (n *Node) ownState(now time.Time) heartbeat.LocalState {
+	return heartbeat.LocalState{
+		Leaving: n.stopping.Load(), StoreUnreadable: n.isStoreUnreadable(),
+		Versions: n.cache.announcedStates(now), Loads: n.router.Reports(now),
 	}
 }
 
-func (n *Node) sendAll(outs []heartbeat.Out) {
+func (n *Node) sendAll(outs []heartbeat.Outgoing) {
 	var last *heartbeat.Message
 	var raw []byte
 	for _, o := range outs {
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -73,8 +73,8 @@
 	for i, n := range f.nodes {
 		held := n.cache.announcedStates(f.now)
 		h := &heartbeat.Heartbeat{
-			From: n.options.Settings.VM().ID, DataCentre: "dc-0", Life: 1, Number: uint64(1000 + i),
-			Held: [2]heartbeat.Held(held[:2]),
+			From: n.options.Settings.VM().ID, DataCentre: "dc-0", Incarnation: 1, Sequence: uint64(1000 + i),
+			Versions: [2]heartbeat.VersionInfo(held[:2]),
 		}
 		for j, other := range f.nodes {
 			if i != j {
@@ -110,9 +110,9 @@
 
 func kindOf(m *heartbeat.Message) string {
 	switch {
-	case m.Want != nil:
+	case m.Request != nil:
 		return "want"
-	case m.Piece != nil:
+	case m.Chunk != nil:
 		return "piece"
 	case m.Change != nil:
 		return "change"
--- a/entry/restore_model_test.go
+++ b/entry/restore_model_test.go
@@ -119,8 +119,8 @@
 	}
 	t.Run("a change from a peer", func(t *testing.T) {
 		qt.Assert(t, placesFlowAfterRestore(t, func(n *Node, at baobabstep.Revision) {
-			gone := heartbeat.Difference{Gone: []baobabstep.TargetID{benchRegistrations(1)[0].ID}}
-			change := heartbeat.TargetsChange(gone, n.cache.state(heartbeat.Targets).sum, heartbeat.MakeHeld(at, heartbeat.NoRegistrations().Sum(), 0))
+			gone := heartbeat.Difference{Removed: []baobabstep.TargetID{benchRegistrations(1)[0].ID}}
+			change := heartbeat.NewTargetsChange(gone, n.cache.state(heartbeat.Targets).sum, heartbeat.MakeVersionInfo(at, heartbeat.EmptyRegistrations().Checksum(), 0))
 			n.handleChange(benchEpoch, peerAddress(3), change)
 			qt.Assert(t, n.cache.state(heartbeat.Targets).revision, qt.Equals, at)
 		}), qt.IsTrue)
--- a/entry/section.go
+++ b/entry/section.go
@@ -34,7 +34,7 @@
 func (sc *stateCache) applySection(now time.Time, s *heartbeat.Section, from origin) (taken, complete bool, err error) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	cached, revision := &sc.states[heartbeat.Targets], s.Held.Revision()
+	cached, revision := &sc.states[heartbeat.Targets], s.VersionInfo.Revision()
 	if !cached.revision.Before(revision) {
 		return false, false, nil
 	}
@@ -49,15 +49,15 @@
 	sc.pendingSections.Merge(d)
 	sc.history = heartbeat.History{}
 	cached.content = nil
-	if sc.targets.Sum() != s.Held.Sum {
+	if sc.targets.Checksum() != s.VersionInfo.Checksum {
 		if cached.isKnown() {
-			cached.sum = sc.targets.Sum()
+			cached.sum = sc.targets.Checksum()
 		}
 		sc.sectionsMissing = true
 		return true, false, nil
 	}
 	sc.sectionsMissing = false
-	sc.setContent(now, heartbeat.Targets, s.Held.Sum, revision, from)
+	sc.setContent(now, heartbeat.Targets, s.VersionInfo.Checksum, revision, from)
 	sc.applyPendingSections(now)
 	sc.logTargetsChanged(from)
 	return true, true, nil
@@ -69,7 +69,7 @@
 	if sc.pendingSections.Empty() {
 		return
 	}
-	sc.router.ChangeRegistrations(now, sc.pendingSections.Put, sc.pendingSections.Gone)
+	sc.router.ChangeRegistrations(now, sc.pendingSections.Put, sc.pendingSections.Removed)
 	sc.pendingSections = heartbeat.Difference{}
 }
 
--- a/entry/section_test.go
+++ b/entry/section_test.go
@@ -72,7 +72,7 @@
 	f := newDataCentreFleet(t, 5, 100)
 	f.restart(4, benchRegistrations(100)[:10])
 	n := f.nodes[4]
-	qt.Assert(t, n.ownState(f.now).Held[heartbeat.Targets].Version, qt.Equals, uint64(0))
+	qt.Assert(t, n.ownState(f.now).Versions[heartbeat.Targets].Number, qt.Equals, uint64(0))
 	_, incomplete := n.cache.incompleteTargets()
 	qt.Assert(t, incomplete, qt.IsTrue)
 	qt.Assert(t, n.router.Stats().Targets, qt.Equals, 10)
@@ -121,7 +121,7 @@
 			_, _, err := n.cache.updateTargets(benchEpoch, all[:90], baobabstep.Revision{Number: 1}, origin{source: sourceStore})
 			qt.Assert(t, err, qt.IsNil)
 			for _, s := range sender.cache.differingSections(benchEpoch, n.cache.digests(), 1) {
-				s.Held = heartbeat.MakeHeld(baobabstep.Revision{Number: 2}, s.Held.Sum+1, 0) // never complete
+				s.VersionInfo = heartbeat.MakeVersionInfo(baobabstep.Revision{Number: 2}, s.VersionInfo.Checksum+1, 0) // never complete
 				_, _, err := n.cache.applySection(benchEpoch, s, origin{source: sourcePeer})
 				qt.Assert(t, err, qt.IsNil)
 			}
