--- a/core/answer/doc.go
+++ b/core/answer/doc.go
@@ -13,9 +13,9 @@
 //	a hang, a crash              no answer for many times the usual time
 //	a refusal of the flow        nothing after the first segment
 //
-// [SizeHistogram] learns the typical answer size of a route over all its targets. [TargetCounter]
-// counts the outcomes at one target. [Health.Update] compares a target with the
-// others of its service. Only a target that fails more often than they do is
+// [SizeHistogram] learns the typical answer size of a route over all its targets.
+// [TargetCounter] counts the outcomes at one target. [Health.Update] compares a target
+// with the others of its service. Only a target that fails more often than they do is
 // failing. If all change alike, the service has changed, the VM's own link is
 // broken, or the service is overloaded; no target is marked as failing then.
 //
@@ -33,7 +33,7 @@
 //   - One caller cannot make a target count as failing, whatever it acknowledges:
 //     failures count once per caller in callerInterval, and minFailedCallers
 //     different callers are required.
-//   - A target is judged in comparison with its peers; no size or time is fixed.
+//   - Each target is compared with its peers; no size or time is fixed.
 //   - When an incarnation of a target ends, its outcomes are dropped but its
 //     [Health] remains: pauses grow for a target that relapses under the same
 //     identifier.
--- a/core/answer/judge.go
+++ b/core/answer/judge.go
@@ -33,8 +33,8 @@
 	minPause = 2 * time.Second
 	maxPause = 16 * time.Second
 	// trialDuration is how long a trial lasts. The VMs of a data centre together send the
-	// target one flow per TrialGap: 10 flows, of which a target that fails four of ten
-	// requests fails at least two with a probability of 95 %.
+	// target one flow per TrialInterval: 10 flows, of which a target that fails four of
+	// ten requests fails at least two with a probability of 95 %.
 	trialDuration = 2 * time.Second
 	// TrialInterval is the time between two flows to a target on trial.
 	TrialInterval = 200 * time.Millisecond
@@ -84,55 +84,56 @@
 type Observations struct {
 	// Target holds the outcomes at the target, as seen by all VMs.
 	Target Sample
-	// PeerFailureRate is the usual failure rate of the targets of the service; see [PeerShare].
+	// PeerFailureRate is the usual failure rate of the targets of the service; see
+	// [UsualFailureRate].
 	PeerFailureRate float64
 	// FailedCallers are the callers whose requests failed at the target.
 	FailedCallers CallerSet
 }
 
 // Update updates the state and the penalty. It reports whether the state changed.
-func (v *Health) Update(now time.Time, e Observations) (changed bool) {
-	before := v.State
-	switch v.State {
+func (h *Health) Update(now time.Time, e Observations) (changed bool) {
+	before := h.State
+	switch h.State {
 	case Trusted:
 		if excess := e.excessFailureRate(); excess > 0 && e.FailedCallers.Count() >= minFailedCallers {
-			v.markFailing(now, excess)
+			h.markFailing(now, excess)
 		}
 	case Failing:
 		if excess := e.excessFailureRate(); excess > 0 {
-			v.Penalty = max(v.Penalty, penaltyGain*excess)
+			h.Penalty = max(h.Penalty, penaltyGain*excess)
 		}
-		if !now.Before(v.Deadline) {
-			v.State, v.Deadline = OnTrial, now.Add(trialDuration)
-			v.trialStart, v.failedAtTrialStart = now, e.Target.Failed
+		if !now.Before(h.Deadline) {
+			h.State, h.Deadline = OnTrial, now.Add(trialDuration)
+			h.trialStart, h.failedAtTrialStart = now, e.Target.Failed
 		}
 	case OnTrial:
-		old := v.failedAtTrialStart * fade.Factor(now.Sub(v.trialStart), window)
+		old := h.failedAtTrialStart * fade.Factor(now.Sub(h.trialStart), window)
 		switch {
 		case e.Target.Failed-old >= trialFailureLimit:
-			v.markFailing(now, e.excessFailureRate())
-		case !now.Before(v.Deadline):
-			v.State, v.Penalty, v.recoveredAt = Trusted, 0, now
+			h.markFailing(now, e.excessFailureRate())
+		case !now.Before(h.Deadline):
+			h.State, h.Penalty, h.recoveredAt = Trusted, 0, now
 		}
 	}
-	return v.State != before
+	return h.State != before
 }
 
 // markFailing marks the target as failing and starts a pause. After a relapse, the pause
 // is twice as long as the previous one.
-func (v *Health) markFailing(now time.Time, excess float64) {
-	if v.State == Trusted && now.Sub(v.recoveredAt) >= relapsePeriod {
-		v.pause = 0
+func (h *Health) markFailing(now time.Time, excess float64) {
+	if h.State == Trusted && now.Sub(h.recoveredAt) >= relapsePeriod {
+		h.pause = 0
 	}
-	v.pause = min(max(2*v.pause, minPause), maxPause)
-	v.State, v.Deadline = Failing, now.Add(v.pause)
-	v.Penalty = max(v.Penalty, penaltyGain*excess)
+	h.pause = min(max(2*h.pause, minPause), maxPause)
+	h.State, h.Deadline = Failing, now.Add(h.pause)
+	h.Penalty = max(h.Penalty, penaltyGain*excess)
 }
 
 // excessFailureRate returns the part of the target's failure rate that neither its peers
 // nor random variation explain. It is 0 or negative for a healthy target.
-func (e *Observations) excessFailureRate() float64 {
-	return failureRateLowerBound(e.Target) - peerRateFactor*e.PeerFailureRate - peerRateMargin
+func (o *Observations) excessFailureRate() float64 {
+	return failureRateLowerBound(o.Target) - peerRateFactor*o.PeerFailureRate - peerRateMargin
 }
 
 const (
--- a/core/answer/sizes.go
+++ b/core/answer/sizes.go
@@ -32,8 +32,8 @@
 	refreshInterval = 16
 )
 
-// SizeHistogram is a histogram of the answer sizes of one route, in which older answers have less
-// weight. It is safe for concurrent use. The zero value is empty.
+// SizeHistogram is a histogram of the answer sizes of one route, in which older answers
+// have less weight. It is safe for concurrent use. The zero value is empty.
 type SizeHistogram struct {
 	mu           sync.Mutex
 	counts       [bucketCount]float32
--- a/core/answer/tally.go
+++ b/core/answer/tally.go
@@ -56,8 +56,8 @@
 	return sum
 }
 
-// Counter counts outcomes, whose weight decays exponentially. It is not safe for concurrent
-// use. The zero value is empty.
+// Counter counts outcomes, whose weight decays exponentially. It is not safe for
+// concurrent use. The zero value is empty.
 type Counter struct {
 	answers, failed float64
 	// totalSeconds is the sum of the response times of the answered requests.
@@ -67,7 +67,7 @@
 
 // Add counts an outcome. took is the response time if the request was answered.
 func (s *Counter) Add(now time.Time, outcome Outcome, took time.Duration) {
-	s.decay(now)
+	s.decayTo(now)
 	s.answers++
 	if outcome == Answered {
 		s.totalSeconds += took.Seconds()
@@ -76,12 +76,12 @@
 	}
 }
 
-// decay reduces all weights to their values at the given time.
-func (s *Counter) decay(now time.Time) {
-	left := fade.Factor(now.Sub(s.updatedAt), window)
-	s.answers *= left
-	s.failed *= left
-	s.totalSeconds *= left
+// decayTo reduces all weights to their values at the given time.
+func (s *Counter) decayTo(now time.Time) {
+	factor := fade.Factor(now.Sub(s.updatedAt), window)
+	s.answers *= factor
+	s.failed *= factor
+	s.totalSeconds *= factor
 	if now.After(s.updatedAt) {
 		s.updatedAt = now
 	}
@@ -89,7 +89,7 @@
 
 // Sample returns the counts at the given time.
 func (s *Counter) Sample(now time.Time) Sample {
-	s.decay(now)
+	s.decayTo(now)
 	sample := Sample{Answers: s.answers, Failed: s.failed}
 	if succeeded := s.answers - s.failed; succeeded > minLatencyWeight {
 		sample.Latency = time.Duration(s.totalSeconds / succeeded * float64(time.Second))
@@ -97,8 +97,8 @@
 	return sample
 }
 
-// TargetCounter counts the outcomes at one target and limits the effect of single callers. It is
-// not safe for concurrent use. The zero value is empty.
+// TargetCounter counts the outcomes at one target and limits the effect of single callers.
+// It is not safe for concurrent use. The zero value is empty.
 type TargetCounter struct {
 	Counter
 	recentFailures [maxRecentFailures]callerFailure
@@ -136,11 +136,11 @@
 	return false
 }
 
-// CallerSet is a set of callers, with one bit for each hash value modulo callerBits. CallerSet
-// that share a bit count as one, so that Count never returns too many.
+// CallerSet is a set of callers, with one bit for each hash value modulo callerBits.
+// Callers that share a bit count as one, so that Count never returns too many.
 type CallerSet uint16
 
-// callerBits is the number of bits of Callers.
+// callerBits is the number of bits of CallerSet.
 const callerBits = 16
 
 // Count returns the least number of different callers in the set.
--- a/core/heartbeat/alarm.go
+++ b/core/heartbeat/alarm.go
@@ -27,7 +27,8 @@
 // timeouts.
 type Alarm struct {
 	From baobabstep.VMID `cbor:"1,keyasint"`
-	// Incarnation and Number are as in Heartbeat, and numbered together with the heartbeats.
+	// Incarnation and Sequence are as in Heartbeat. Both kinds of messages share one
+	// sequence.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Sequence    uint64 `cbor:"3,keyasint"`
 	// Loads contain only the details about silence.
@@ -80,21 +81,21 @@
 	}
 }
 
-// MakeAlarms returns alarms about silent targets for the VMs of the data centre, or none if the
-// rate limit is exceeded.
-func (b *PeerTable) MakeAlarms(now time.Time, silentTargets []baobabstep.TargetLoad) []Outgoing {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// MakeAlarms returns alarms about silent targets for the VMs of the data centre, or none
+// if the rate limit is exceeded.
+func (t *PeerTable) MakeAlarms(now time.Time, silentTargets []baobabstep.TargetLoad) []Outgoing {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	loads := MakeLoads(now, silentTargets, maxAlarmLoads)
-	recipients := b.alarmRecipients(now)
+	recipients := t.alarmRecipients(now)
 	if len(loads) == 0 || len(recipients) == 0 {
 		return nil
 	}
-	if !b.alarmLimiter.AllowN(now, len(recipients)*(alarmHeaderBytes+len(loads)*alarmLoadBytes)) {
+	if !t.alarmLimiter.AllowN(now, len(recipients)*(alarmHeaderBytes+len(loads)*alarmLoadBytes)) {
 		return nil
 	}
-	b.number++
-	m := &Message{Alarm: &Alarm{From: b.options.Self, Incarnation: b.options.Incarnation, Sequence: b.number, Loads: loads}}
+	t.sequence++
+	m := &Message{Alarm: &Alarm{From: t.options.Self, Incarnation: t.options.Incarnation, Sequence: t.sequence, Loads: loads}}
 	outs := make([]Outgoing, 0, len(recipients))
 	for _, address := range recipients {
 		outs = append(outs, Outgoing{To: address, Message: m})
@@ -109,10 +110,10 @@
 )
 
 // alarmRecipients returns the VMs that get an alarm.
-func (b *PeerTable) alarmRecipients(now time.Time) []netip.AddrPort {
-	to := b.liveNearAddresses(now)
+func (t *PeerTable) alarmRecipients(now time.Time) []netip.AddrPort {
+	to := t.liveNearAddresses(now)
 	if len(to) > alarmFanout {
-		b.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
+		t.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
 		to = to[:alarmFanout]
 	}
 	return to
@@ -121,12 +122,12 @@
 // HandleAlarm processes an alarm and returns what all VMs now report about the targets in
 // it. The alarm is ignored if no heartbeat of its sender is known, if the sender is in
 // another data centre or another incarnation, or if a later message of it is known.
-func (b *PeerTable) HandleAlarm(now time.Time, from netip.AddrPort, a *Alarm) map[baobabstep.TargetID]baobabstep.TargetLoad {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peers[from]
+func (t *PeerTable) HandleAlarm(now time.Time, from netip.AddrPort, a *Alarm) map[baobabstep.TargetID]baobabstep.TargetLoad {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := t.peers[from]
 	switch {
-	case p == nil || p.last == nil || p.last.DataCentre != b.options.DataCentre:
+	case p == nil || p.last == nil || p.last.DataCentre != t.options.DataCentre:
 		return nil
 	case a.From != p.last.From || a.Incarnation != p.last.Incarnation || a.Sequence <= max(p.alarmSequence, p.last.Sequence):
 		return nil
@@ -138,17 +139,17 @@
 	combined := make(map[baobabstep.TargetID]baobabstep.TargetLoad, len(a.Loads))
 	for _, l := range a.Loads {
 		p.reports[l.Target] = l.silenceReport(now)
-		b.changedTargets[l.Target] = struct{}{}
-		combined[l.Target] = b.combinedSilence(now, l.Target)
+		t.changedTargets[l.Target] = struct{}{}
+		combined[l.Target] = t.combinedSilence(now, l.Target)
 	}
 	return combined
 }
 
 // combinedSilence returns the silence of a target as reported by the live VMs of the data
 // centre.
-func (b *PeerTable) combinedSilence(now time.Time, id baobabstep.TargetID) (sum baobabstep.TargetLoad) {
-	for _, p := range b.peers {
-		if r, ok := p.reports[id]; ok && b.isLive(now, p) && p.last.DataCentre == b.options.DataCentre {
+func (t *PeerTable) combinedSilence(now time.Time, id baobabstep.TargetID) (sum baobabstep.TargetLoad) {
+	for _, p := range t.peers {
+		if r, ok := p.reports[id]; ok && t.isLive(now, p) && p.last.DataCentre == t.options.DataCentre {
 			r.addTo(&sum)
 		}
 	}
--- a/core/heartbeat/alarm_test.go
+++ b/core/heartbeat/alarm_test.go
@@ -21,7 +21,7 @@
 // Guards against alarms that do not reach the own data centre, or reach others, whose path
 // to the target may differ.
 func TestAlarmRecipients(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	addNearPeers(b, 10)
 	b.Handle(start, address(2), newHeartbeat(2, 1, 1))
 	outs := b.MakeAlarms(start, []baobabstep.TargetLoad{silentTarget})
@@ -34,7 +34,7 @@
 	m, err := Decode(raw)
 	qt.Assert(t, err, qt.IsNil)
 
-	other := newBoard(3)
+	other := newPeerTable(3)
 	other.Handle(start, address(1), newHeartbeat(1, 1, 0))
 	combined := other.HandleAlarm(start, address(1), m.Alarm)
 	qt.Assert(t, combined[9].Silence, qt.DeepEquals, []baobabstep.Silence{{Unanswered: 1, Opens: 1, LeftAt: start.Add(-30 * time.Millisecond)}})
@@ -59,7 +59,7 @@
 		{"of an unknown VM", 5, Alarm{From: 5, Incarnation: 5, Sequence: 11, Loads: loads}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBoard(1)
+			b := newPeerTable(1)
 			b.Handle(start, address(3), newHeartbeat(3, 5, 10))
 			b.Handle(start, address(2), newHeartbeat(2, 5, 10))
 			qt.Assert(t, b.HandleAlarm(start, address(test.from), &test.alarm) != nil, qt.Equals, test.taken)
@@ -76,7 +76,7 @@
 // Guards against alarms above the rate limit. A VM with a broken link repeatedly finds
 // every target silent.
 func TestAlarmsAreBounded(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	addNearPeers(b, 44)
 	bytes := 0
 	now := start
--- a/core/heartbeat/ask.go
+++ b/core/heartbeat/ask.go
@@ -8,11 +8,11 @@
 )
 
 // IsNear reports whether the VM at an address is in the own data centre.
-func (b *PeerTable) IsNear(address netip.AddrPort) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peers[address]
-	return p != nil && p.last != nil && p.last.DataCentre == b.options.DataCentre
+func (t *PeerTable) IsNear(address netip.AddrPort) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := t.peers[address]
+	return p != nil && p.last != nil && p.last.DataCentre == t.options.DataCentre
 }
 
 // Rank is the position of a VM in the order in which VMs should read the store.
@@ -30,19 +30,19 @@
 // counted. VMs that cannot read the store rank after all that can; storeUnreadable is set
 // if this VM cannot. They have ranks among each other, so that only a few of them keep
 // trying.
-func (b *PeerTable) Rank(now time.Time, storeUnreadable bool) Rank {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *PeerTable) Rank(now time.Time, storeUnreadable bool) Rank {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var rank Rank
 	before := make(map[string]bool)
-	for _, p := range b.peers {
-		if !b.isLive(now, p) || p.last.Leaving || p.last.StoreUnreadable && !storeUnreadable {
+	for _, p := range t.peers {
+		if !t.isLive(now, p) || p.last.Leaving || p.last.StoreUnreadable && !storeUnreadable {
 			continue
 		}
-		if p.last.From >= b.options.Self && p.last.StoreUnreadable == storeUnreadable {
+		if p.last.From >= t.options.Self && p.last.StoreUnreadable == storeUnreadable {
 			continue
 		}
-		if p.last.DataCentre == b.options.DataCentre {
+		if p.last.DataCentre == t.options.DataCentre {
 			rank.Near++
 			continue
 		}
@@ -52,16 +52,16 @@
 	return rank
 }
 
-// LiveCounts returns the number of live VMs of each data centre, without this one. A remote data
-// centre that was silent for its timeout (see farTimeout) is left out.
-func (b *PeerTable) LiveCounts(now time.Time) map[string]int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// LiveCounts returns the number of live VMs of each data centre, without this one. A
+// remote data centre that was silent for its timeout (see farTimeout) is left out.
+func (t *PeerTable) LiveCounts(now time.Time) map[string]int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	live := make(map[string]int)
 	stats := make(map[string]*farStats)
 	total := 0
-	for _, p := range b.peers {
-		if !b.isLive(now, p) {
+	for _, p := range t.peers {
+		if !t.isLive(now, p) {
 			continue
 		}
 		dc := p.last.DataCentre
@@ -73,7 +73,7 @@
 		stats[dc].add(p)
 	}
 	for dc, s := range stats {
-		if dc != b.options.DataCentre && now.Sub(s.latestHeartbeat) >= b.farTimeout(s, total) {
+		if dc != t.options.DataCentre && now.Sub(s.latestHeartbeat) >= t.farTimeout(s, total) {
 			delete(live, dc)
 		}
 	}
@@ -111,24 +111,25 @@
 // farTimeout returns the silence after which another data centre counts as unreachable,
 // with total live peers in all data centres. It grows with the mean time between
 // heartbeats, which is long for a small data centre in a large fleet. A VM that does not
-// report its turn is assumed to send to FarFanout VMs of other data centres every Far.
-func (b *PeerTable) farTimeout(s *farStats, total int) time.Duration {
+// report its turn is assumed to send to FarFanout VMs of other data centres every
+// FarInterval.
+func (t *PeerTable) farTimeout(s *farStats, total int) time.Duration {
 	elsewhere := max(1, total+1-s.vms)
-	rate := s.rate + float64(s.withoutTurn*min(b.options.FarFanout, elsewhere))/(b.options.FarInterval.Seconds()*float64(elsewhere))
-	return max(b.options.DataCentreTimeout, time.Duration(farTimeoutGaps/rate*float64(time.Second)))
+	rate := s.rate + float64(s.withoutTurn*min(t.options.FarFanout, elsewhere))/(t.options.FarInterval.Seconds()*float64(elsewhere))
+	return max(t.options.DataCentreTimeout, time.Duration(farTimeoutGaps/rate*float64(time.Second)))
 }
 
-// FindNewer returns a live VM that holds a newer version with different content. It prefers
-// VMs of the own data centre. Of several with the newest version it returns a random one,
-// so that requests are spread over them.
-func (b *PeerTable) FindNewer(now time.Time, kind Kind, revision baobabstep.Revision, sum uint64) (from netip.AddrPort, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// FindNewer returns a live VM that holds a newer version with different content. It
+// prefers VMs of the own data centre. Of several with the newest version it returns a
+// random one, so that requests are spread over them.
+func (t *PeerTable) FindNewer(now time.Time, kind Kind, revision baobabstep.Revision, sum uint64) (from netip.AddrPort, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, near := range []bool{true, false} {
 		same := 0
-		for _, p := range b.peersByAddress(near) {
+		for _, p := range t.peersByAddress(near) {
 			held := VersionInfo{}
-			if b.isLive(now, p) {
+			if t.isLive(now, p) {
 				held = p.last.VersionOf(kind)
 			}
 			heldRevision := held.Revision()
@@ -139,7 +140,7 @@
 				same = 0
 			}
 			same++
-			if revision, ok = heldRevision, true; b.options.Rand.IntN(same) == 0 {
+			if revision, ok = heldRevision, true; t.options.Rand.IntN(same) == 0 {
 				from = p.address
 			}
 		}
--- a/core/heartbeat/beat.go
+++ b/core/heartbeat/beat.go
@@ -17,12 +17,12 @@
 	Loads []baobabstep.TargetLoad
 }
 
-// HeartbeatsDue reports whether heartbeats are due. Callers use it to collect the content of
-// heartbeats, which is expensive, only when needed.
-func (b *PeerTable) HeartbeatsDue(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return roundNumber(now, b.options.NearInterval) != b.nearRound || roundNumber(now, b.options.FarInterval) != b.farRound
+// HeartbeatsDue reports whether heartbeats are due. Callers use it to collect the content
+// of heartbeats, which is expensive, only when needed.
+func (t *PeerTable) HeartbeatsDue(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return roundNumber(now, t.options.NearInterval) != t.nearRound || roundNumber(now, t.options.FarInterval) != t.farRound
 }
 
 // roundNumber returns the number of the interval that contains now. VMs with synchronized
@@ -32,25 +32,25 @@
 }
 
 // Tick returns the heartbeats that are due.
-func (b *PeerTable) Tick(now time.Time, own LocalState) []Outgoing {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.dropSilentPeers(now)
-	b.fanouts = b.computeFanouts(now, own.Loads)
-	b.updateTurns()
+func (t *PeerTable) Tick(now time.Time, own LocalState) []Outgoing {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.dropSilentPeers(now)
+	t.fanouts = t.computeFanouts(now, own.Loads)
+	t.updateTurns()
 	var outs []Outgoing
-	if at := roundNumber(now, b.options.NearInterval); at != b.nearRound {
-		b.nearRound = at
-		list := b.peersByAddress(true)
-		to := turnPeers(list, at, b.fanouts.near, b.turnOffset(now, len(list)))
-		to, far := b.addNewPeers(to)
-		outs = b.appendHeartbeats(outs, now, own, nearHeartbeatOptions(b), to)
-		outs = b.appendHeartbeats(outs, now, own, farHeartbeatOptions(b), far)
+	if at := roundNumber(now, t.options.NearInterval); at != t.nearRound {
+		t.nearRound = at
+		list := t.peersByAddress(true)
+		to := turnPeers(list, at, t.fanouts.near, t.turnOffset(now, len(list)))
+		to, far := t.addNewPeers(to)
+		outs = t.appendHeartbeats(outs, now, own, nearHeartbeatOptions(t), to)
+		outs = t.appendHeartbeats(outs, now, own, farHeartbeatOptions(t), far)
 	}
-	if at := roundNumber(now, b.options.FarInterval); at != b.farRound {
-		b.farRound = at
-		list := b.peersByAddress(false)
-		outs = b.appendHeartbeats(outs, now, own, farHeartbeatOptions(b), turnPeers(list, at, b.fanouts.far, b.turnOffset(now, len(list))))
+	if at := roundNumber(now, t.options.FarInterval); at != t.farRound {
+		t.farRound = at
+		list := t.peersByAddress(false)
+		outs = t.appendHeartbeats(outs, now, own, farHeartbeatOptions(t), turnPeers(list, at, t.fanouts.far, t.turnOffset(now, len(list))))
 	}
 	return outs
 }
@@ -63,19 +63,19 @@
 // drops some of the latter if necessary. New peers are the VMs in newPeers, which may
 // know no other VM, and a random selection of those of which only the address is known.
 // VMs known to be in another data centre are returned in far.
-func (b *PeerTable) addNewPeers(turn []*peer) (to, far []*peer) {
-	unknown := b.unknownPeers()
-	b.options.Rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
-	added := slices.DeleteFunc(append(b.newPeers, unknown...), func(p *peer) bool { return slices.Contains(turn, p) })
-	b.newPeers = nil
-	added = added[:min(len(added), max(0, b.options.NearFanout-minTurnHeartbeats))]
+func (t *PeerTable) addNewPeers(turn []*peer) (to, far []*peer) {
+	unknown := t.unknownPeers()
+	t.options.Rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
+	added := slices.DeleteFunc(append(t.newPeers, unknown...), func(p *peer) bool { return slices.Contains(turn, p) })
+	t.newPeers = nil
+	added = added[:min(len(added), max(0, t.options.NearFanout-minTurnHeartbeats))]
 	to = slices.Clone(turn)
-	if limit := b.options.NearFanout - len(added); len(to) > limit {
-		b.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
+	if limit := t.options.NearFanout - len(added); len(to) > limit {
+		t.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
 		to = to[:limit] // random ones, so that no VM is skipped in each of its turns
 	}
 	for _, p := range added {
-		if p.last != nil && p.last.DataCentre != b.options.DataCentre {
+		if p.last != nil && p.last.DataCentre != t.options.DataCentre {
 			far = append(far, p)
 		} else {
 			to = append(to, p)
@@ -88,41 +88,41 @@
 // heard since the last call. A VM that has just started knows only the seeds, and learns
 // of the others from these heartbeats. VMs above the rate limit wait for the next call or
 // round.
-func (b *PeerTable) AnswerNewPeers(now time.Time, own LocalState) (outs []Outgoing) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *PeerTable) AnswerNewPeers(now time.Time, own LocalState) (outs []Outgoing) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	own.Loads = nil
-	for len(b.newPeers) > 0 && b.answerLimiter.AllowN(now, 1) {
-		p := b.newPeers[0]
-		b.newPeers = b.newPeers[1:]
-		receiverOptions := nearHeartbeatOptions(b)
-		if p.last.DataCentre != b.options.DataCentre {
-			receiverOptions = farHeartbeatOptions(b)
+	for len(t.newPeers) > 0 && t.answerLimiter.AllowN(now, 1) {
+		p := t.newPeers[0]
+		t.newPeers = t.newPeers[1:]
+		receiverOptions := nearHeartbeatOptions(t)
+		if p.last.DataCentre != t.options.DataCentre {
+			receiverOptions = farHeartbeatOptions(t)
 		}
-		outs = b.appendHeartbeats(outs, now, own, receiverOptions, []*peer{p})
+		outs = t.appendHeartbeats(outs, now, own, receiverOptions, []*peer{p})
 	}
 	return outs
 }
 
 // HasNewPeers reports whether new peers wait for an answer.
-func (b *PeerTable) HasNewPeers() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.newPeers) > 0
+func (t *PeerTable) HasNewPeers() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.newPeers) > 0
 }
 
 // turnOffset returns the position in a list of length receivers at which the turns of this
 // VM start. Offsets are spread over the VMs of a data centre. With equal offsets, a
 // receiver would get the heartbeats of all of them in one round, which can overflow its
 // socket buffer, and then none for seconds.
-func (b *PeerTable) turnOffset(now time.Time, length int) int {
+func (t *PeerTable) turnOffset(now time.Time, length int) int {
 	rank, vms := 0, 1
-	for _, p := range b.peers {
-		if !b.isLive(now, p) || p.last.DataCentre != b.options.DataCentre {
+	for _, p := range t.peers {
+		if !t.isLive(now, p) || p.last.DataCentre != t.options.DataCentre {
 			continue
 		}
 		vms++
-		if p.address.Compare(b.options.Address) < 0 {
+		if p.address.Compare(t.options.Address) < 0 {
 			rank++
 		}
 	}
@@ -133,26 +133,26 @@
 // this VM holds something new or leaves. If far is set, one VM of each other data centre
 // gets one too. VMs that learn of a new version in this way announce it in turn, so that
 // no VM has to send the complete content to all.
-func (b *PeerTable) Announce(now time.Time, own LocalState, far bool) []Outgoing {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	to := b.peersByAddress(true)
-	b.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-	outs := b.appendHeartbeats(nil, now, own, nearHeartbeatOptions(b), to[:min(len(to), b.options.AnnounceFanout)])
+func (t *PeerTable) Announce(now time.Time, own LocalState, far bool) []Outgoing {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	to := t.peersByAddress(true)
+	t.options.Rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
+	outs := t.appendHeartbeats(nil, now, own, nearHeartbeatOptions(t), to[:min(len(to), t.options.AnnounceFanout)])
 	if far {
-		outs = b.appendHeartbeats(outs, now, own, farHeartbeatOptions(b), b.firstFarPeers(now))
+		outs = t.appendHeartbeats(outs, now, own, farHeartbeatOptions(t), t.firstFarPeers(now))
 	}
 	return outs
 }
 
-// ChangeRecipients returns the recipients of a change: all live VMs of the own data centre and, if
-// far is set, one of each other.
-func (b *PeerTable) ChangeRecipients(now time.Time, far bool) []netip.AddrPort {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	to := b.liveNearAddresses(now)
+// ChangeRecipients returns the recipients of a change: all live VMs of the own data centre
+// and, if far is set, one of each other.
+func (t *PeerTable) ChangeRecipients(now time.Time, far bool) []netip.AddrPort {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	to := t.liveNearAddresses(now)
 	if far {
-		to = append(to, b.farPeerAddresses(now)...)
+		to = append(to, t.farPeerAddresses(now)...)
 	}
 	return to
 }
@@ -174,17 +174,17 @@
 // origin. The VMs, sorted by address and rotated to start at origin, form a tree in which
 // each has at limit fanout children. If VMs disagree on the membership, some receive the
 // change twice, and others detect from a heartbeat that they missed it.
-func (b *PeerTable) RelayPeers(now time.Time, origin netip.AddrPort, fanout int) (to []netip.AddrPort) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ring := append(b.liveNearAddresses(now), b.options.Address)
+func (t *PeerTable) RelayPeers(now time.Time, origin netip.AddrPort, fanout int) (to []netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ring := append(t.liveNearAddresses(now), t.options.Address)
 	if !slices.Contains(ring, origin) {
 		ring = append(ring, origin)
 	}
 	slices.SortFunc(ring, netip.AddrPort.Compare)
 	n := len(ring)
 	first := slices.Index(ring, origin)
-	rank := (slices.Index(ring, b.options.Address) - first + n) % n
+	rank := (slices.Index(ring, t.options.Address) - first + n) % n
 	for i := rank*fanout + 1; i <= (rank+1)*fanout && i < n; i++ {
 		to = append(to, ring[(first+i)%n])
 	}
@@ -192,14 +192,14 @@
 }
 
 // FarPeers returns one VM of each other data centre.
-func (b *PeerTable) FarPeers(now time.Time) []netip.AddrPort {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.farPeerAddresses(now)
+func (t *PeerTable) FarPeers(now time.Time) []netip.AddrPort {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.farPeerAddresses(now)
 }
 
-func (b *PeerTable) farPeerAddresses(now time.Time) (to []netip.AddrPort) {
-	for _, p := range b.firstFarPeers(now) {
+func (t *PeerTable) farPeerAddresses(now time.Time) (to []netip.AddrPort) {
+	for _, p := range t.firstFarPeers(now) {
 		to = append(to, p.address)
 	}
 	return to
@@ -210,11 +210,11 @@
 
 // RelayDelay estimates the time a relayed change takes from the first to the last VM
 // of the data centre, for a change of which each VM sends minRelayFanout copies.
-func (b *PeerTable) RelayDelay() time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *PeerTable) RelayDelay() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	levels := 0
-	for reached, level := minRelayFanout, minRelayFanout; reached < b.nearVMs; reached += level {
+	for reached, level := minRelayFanout, minRelayFanout; reached < t.nearVMs; reached += level {
 		level *= minRelayFanout
 		levels++
 	}
@@ -222,9 +222,9 @@
 }
 
 // liveNearAddresses returns the addresses of all live VMs of the own data centre.
-func (b *PeerTable) liveNearAddresses(now time.Time) (list []netip.AddrPort) {
-	for _, p := range b.peersByAddress(true) {
-		if b.isLive(now, p) {
+func (t *PeerTable) liveNearAddresses(now time.Time) (list []netip.AddrPort) {
+	for _, p := range t.peersByAddress(true) {
+		if t.isLive(now, p) {
 			list = append(list, p.address)
 		}
 	}
@@ -233,10 +233,10 @@
 
 // firstFarPeers returns the live VM with the lowest identifier of each other data centre.
 // Leaving VMs are skipped.
-func (b *PeerTable) firstFarPeers(now time.Time) []*peer {
+func (t *PeerTable) firstFarPeers(now time.Time) []*peer {
 	first := make(map[string]*peer)
-	for _, p := range b.peers {
-		if !b.isLive(now, p) || p.last.DataCentre == b.options.DataCentre || p.last.Leaving {
+	for _, p := range t.peers {
+		if !t.isLive(now, p) || p.last.DataCentre == t.options.DataCentre || p.last.Leaving {
 			continue
 		}
 		if f := first[p.last.DataCentre]; f == nil || p.last.From < f.last.From {
@@ -270,23 +270,23 @@
 	turn time.Duration
 }
 
-func nearHeartbeatOptions(b *PeerTable) heartbeatOptions {
-	return heartbeatOptions{loadLimit: maxLoads, turn: time.Duration(b.nearTurns) * b.options.NearInterval}
+func nearHeartbeatOptions(t *PeerTable) heartbeatOptions {
+	return heartbeatOptions{loadLimit: maxLoads, turn: time.Duration(t.nearTurns) * t.options.NearInterval}
 }
 
-func farHeartbeatOptions(b *PeerTable) heartbeatOptions {
-	return heartbeatOptions{loadLimit: maxFarLoads, turn: time.Duration(b.farTurns) * b.options.FarInterval}
+func farHeartbeatOptions(t *PeerTable) heartbeatOptions {
+	return heartbeatOptions{loadLimit: maxFarLoads, turn: time.Duration(t.farTurns) * t.options.FarInterval}
 }
 
 // appendHeartbeats appends one heartbeat for each of the given VMs to outs.
-func (b *PeerTable) appendHeartbeats(outs []Outgoing, now time.Time, own LocalState, o heartbeatOptions, to []*peer) []Outgoing {
+func (t *PeerTable) appendHeartbeats(outs []Outgoing, now time.Time, own LocalState, o heartbeatOptions, to []*peer) []Outgoing {
 	if len(to) == 0 {
 		return outs
 	}
-	b.number++
+	t.sequence++
 	h := &Heartbeat{
-		From: b.options.Self, DataCentre: b.options.DataCentre, Incarnation: b.options.Incarnation, Sequence: b.number,
-		Leaving: own.Leaving, StoreUnreadable: own.StoreUnreadable, Versions: [chunkedKinds]VersionInfo(own.Versions[:chunkedKinds]), EvacuationsVersion: own.Versions[Evacuations], Loads: MakeLoads(now, own.Loads, o.loadLimit), Peers: b.samplePeers(now),
+		From: t.options.Self, DataCentre: t.options.DataCentre, Incarnation: t.options.Incarnation, Sequence: t.sequence,
+		Leaving: own.Leaving, StoreUnreadable: own.StoreUnreadable, Versions: [chunkedKinds]VersionInfo(own.Versions[:chunkedKinds]), EvacuationsVersion: own.Versions[Evacuations], Loads: MakeLoads(now, own.Loads, o.loadLimit), Peers: t.samplePeers(now),
 		TurnMS: uint32(o.turn.Milliseconds()),
 	}
 	m := &Message{Heartbeat: h}
@@ -298,26 +298,26 @@
 
 // samplePeers returns the addresses of up to maxPeers random live VMs. It prefers those of
 // the own data centre, and includes at least one of another if any is live.
-func (b *PeerTable) samplePeers(now time.Time) []netip.AddrPort {
+func (t *PeerTable) samplePeers(now time.Time) []netip.AddrPort {
 	var near, far []netip.AddrPort
-	for _, p := range b.peers {
+	for _, p := range t.peers {
 		switch {
-		case !b.isLive(now, p):
-		case p.last.DataCentre == b.options.DataCentre:
+		case !t.isLive(now, p):
+		case p.last.DataCentre == t.options.DataCentre:
 			near = append(near, p.address)
 		default:
 			far = append(far, p.address)
 		}
 	}
-	b.shuffleAddresses(near)
-	b.shuffleAddresses(far)
+	t.shuffleAddresses(near)
+	t.shuffleAddresses(far)
 	farPeers := min(len(far), max(1, maxPeers-len(near)))
 	return append(near[:min(len(near), maxPeers-farPeers)], far[:farPeers]...)
 }
 
 // shuffleAddresses sorts a list before it shuffles it, so that the result does not depend
 // on the iteration order of a map.
-func (b *PeerTable) shuffleAddresses(list []netip.AddrPort) {
+func (t *PeerTable) shuffleAddresses(list []netip.AddrPort) {
 	slices.SortFunc(list, netip.AddrPort.Compare)
-	b.options.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	t.options.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
--- a/core/heartbeat/board.go
+++ b/core/heartbeat/board.go
@@ -14,20 +14,21 @@
 	"baobabstep/core/quota"
 )
 
-// Options are the settings of a [PeerTable]. A zero value selects the default, which is given
-// in parentheses.
+// Options are the settings of a [PeerTable]. A zero value selects the default, which is
+// given in parentheses.
 type Options struct {
 	Self       baobabstep.VMID
 	DataCentre string
 	Address    netip.AddrPort
-	// Incarnation is the incarnation number: the start time of this VM, in milliseconds.
+	// Incarnation is the start time of this VM, in milliseconds.
 	Incarnation uint64
 	// Seeds are the addresses of the VMs that are contacted first.
 	Seeds []netip.AddrPort
 	Rand  *rand.Rand
 
-	// NearInterval and FarInterval are the times between two heartbeats to a VM of the own and of another
-	// data centre (200 ms, 500 ms). Traffic between data centres costs money.
+	// NearInterval and FarInterval are the times between two heartbeats to a VM of the own
+	// and of another data centre (200 ms, 500 ms). Traffic between data centres costs
+	// money.
 	NearInterval, FarInterval time.Duration
 	// NearFanout and FarFanout limit the VMs that get a heartbeat in one such interval (8,
 	// 6). Larger fleets take turns.
@@ -35,16 +36,17 @@
 	// AnnounceFanout limits the VMs of the own data centre that get an unscheduled
 	// heartbeat (4).
 	AnnounceFanout int
-	// PeerTimeout is the timeout after which a VM is no longer live (700 ms, three heartbeats
-	// and a half). Where VMs take turns, it is multiplied by the number of rounds between
-	// two turns.
+	// PeerTimeout is the silence after which a VM is no longer live (700 ms, three
+	// heartbeats and a half). Where VMs take turns, it is multiplied by the number of
+	// rounds between two turns.
 	PeerTimeout time.Duration
 	// DataCentreTimeout is the silence of all its VMs after which another data centre is
 	// unreachable (1 s). It is longer for data centres whose heartbeats arrive rarely; see
 	// farTimeout.
 	DataCentreTimeout time.Duration
-	// RemovalTimeout is the timeout after which a VM gets no more heartbeats (30 s). It exceeds
-	// the duration of partitions that heal, so that both sides find each other again.
+	// RemovalTimeout is the silence after which a VM gets no more heartbeats (30 s). It
+	// exceeds the duration of partitions that heal, so that both sides find each other
+	// again.
 	RemovalTimeout time.Duration
 }
 
@@ -80,16 +82,16 @@
 	alarmSequence uint64
 }
 
-// PeerTable is the table of the other VMs and their latest heartbeats. It is safe for
-// concurrent use.
+// PeerTable contains the other VMs and their latest heartbeats. It is safe for concurrent
+// use.
 type PeerTable struct {
 	options Options
 	mu      sync.Mutex
 	// peers are the known VMs by address. A VM that was replaced at the same address is
 	// the same peer with another incarnation number.
 	peers map[netip.AddrPort]*peer
-	// number is the sequence number of the latest message.
-	number uint64
+	// sequence is the sequence number of the latest message.
+	sequence uint64
 	// nearRound and farRound are the rounds of the latest heartbeats.
 	nearRound, farRound int64
 	// nearTurns and farTurns are the numbers of rounds in which each VM of the own data
@@ -141,40 +143,40 @@
 const maxUnknownPeers = 32
 
 // addAddresses adds peers for addresses that are not yet known.
-func (b *PeerTable) addAddresses(now time.Time, addresses []netip.AddrPort) {
+func (t *PeerTable) addAddresses(now time.Time, addresses []netip.AddrPort) {
 	for _, a := range addresses {
-		if a.IsValid() && a != b.options.Address && b.peers[a] == nil && len(b.unknownPeers()) < maxUnknownPeers {
-			b.peers[a] = &peer{address: a, lastHeard: now}
+		if a.IsValid() && a != t.options.Address && t.peers[a] == nil && len(t.unknownPeers()) < maxUnknownPeers {
+			t.peers[a] = &peer{address: a, lastHeard: now}
 		}
 	}
 }
 
 // markSeedsSeen removes from unseenSeeds the sender of a heartbeat and the VMs that it has
 // heard.
-func (b *PeerTable) markSeedsSeen(from netip.AddrPort, heard []netip.AddrPort) {
-	if len(b.unseenSeeds) == 0 {
+func (t *PeerTable) markSeedsSeen(from netip.AddrPort, heard []netip.AddrPort) {
+	if len(t.unseenSeeds) == 0 {
 		return
 	}
-	delete(b.unseenSeeds, from)
+	delete(t.unseenSeeds, from)
 	for _, a := range heard {
-		delete(b.unseenSeeds, a)
+		delete(t.unseenSeeds, a)
 	}
 }
 
 // peersByAddress returns the peers that have sent a heartbeat, of the own data centre or
 // of all others, sorted by address.
-func (b *PeerTable) peersByAddress(near bool) []*peer {
-	return b.filterPeers(func(p *peer) bool { return p.last != nil && (p.last.DataCentre == b.options.DataCentre) == near })
+func (t *PeerTable) peersByAddress(near bool) []*peer {
+	return t.filterPeers(func(p *peer) bool { return p.last != nil && (p.last.DataCentre == t.options.DataCentre) == near })
 }
 
 // unknownPeers returns the peers of which only the address is known, sorted by address.
-func (b *PeerTable) unknownPeers() []*peer {
-	return b.filterPeers(func(p *peer) bool { return p.last == nil })
+func (t *PeerTable) unknownPeers() []*peer {
+	return t.filterPeers(func(p *peer) bool { return p.last == nil })
 }
 
 // filterPeers returns the peers that match, sorted by address.
-func (b *PeerTable) filterPeers(match func(*peer) bool) (list []*peer) {
-	for _, p := range b.peers {
+func (t *PeerTable) filterPeers(match func(*peer) bool) (list []*peer) {
+	for _, p := range t.peers {
 		if match(p) {
 			list = append(list, p)
 		}
@@ -184,36 +186,36 @@
 }
 
 // isLive reports whether a heartbeat of the peer was received within its timeout.
-func (b *PeerTable) isLive(now time.Time, p *peer) bool {
+func (t *PeerTable) isLive(now time.Time, p *peer) bool {
 	if p.last == nil {
 		return false
 	}
-	turns, interval := b.nearTurns, b.options.NearInterval
-	if p.last.DataCentre != b.options.DataCentre {
-		turns, interval = b.farTurns, b.options.FarInterval
+	turns, interval := t.nearTurns, t.options.NearInterval
+	if p.last.DataCentre != t.options.DataCentre {
+		turns, interval = t.farTurns, t.options.FarInterval
 	}
 	if turn := p.last.turn(); turn > 0 {
 		turns = int(turn / interval)
 	}
-	return now.Sub(p.lastHeard) < b.options.PeerTimeout*time.Duration(max(1, turns))
+	return now.Sub(p.lastHeard) < t.options.PeerTimeout*time.Duration(max(1, turns))
 }
 
 // updateTurns updates the numbers of rounds between two turns. The same numbers are
 // assumed for VMs that do not report theirs.
-func (b *PeerTable) updateTurns() {
+func (t *PeerTable) updateTurns() {
 	near, far := 0, 0
-	for _, p := range b.peers {
+	for _, p := range t.peers {
 		switch {
 		case p.last == nil:
-		case p.last.DataCentre == b.options.DataCentre:
+		case p.last.DataCentre == t.options.DataCentre:
 			near++
 		default:
 			far++
 		}
 	}
-	b.nearVMs = near
-	b.nearTurns = (near + b.fanouts.near - 1) / b.fanouts.near
-	b.farTurns = (far + b.fanouts.far - 1) / b.fanouts.far
+	t.nearVMs = near
+	t.nearTurns = (near + t.fanouts.near - 1) / t.fanouts.near
+	t.farTurns = (far + t.fanouts.far - 1) / t.fanouts.far
 }
 
 // minMissedTurns is the least number of missed turns after which a VM is dropped. In a
@@ -222,11 +224,11 @@
 
 // dropSilentPeers removes VMs that were silent for long. Seeds remain, so that a VM that
 // was partitioned for long finds the others again.
-func (b *PeerTable) dropSilentPeers(now time.Time) {
-	for address, p := range b.peers {
-		if now.Sub(p.lastHeard) >= b.dropTimeout(p) && !slices.Contains(b.options.Seeds, address) {
-			b.setLoadsCounted(p, false)
-			delete(b.peers, address)
+func (t *PeerTable) dropSilentPeers(now time.Time) {
+	for address, p := range t.peers {
+		if now.Sub(p.lastHeard) >= t.dropTimeout(p) && !slices.Contains(t.options.Seeds, address) {
+			t.setLoadsCounted(p, false)
+			delete(t.peers, address)
 		}
 	}
 }
@@ -236,46 +238,46 @@
 const unknownTimeout = 5 * time.Second
 
 // dropTimeout returns the silence after which a VM is removed.
-func (b *PeerTable) dropTimeout(p *peer) time.Duration {
+func (t *PeerTable) dropTimeout(p *peer) time.Duration {
 	if p.last == nil {
 		return unknownTimeout
 	}
-	return max(b.options.RemovalTimeout, minMissedTurns*time.Duration(b.farTurns)*b.options.FarInterval, minMissedTurns*p.last.turn())
+	return max(t.options.RemovalTimeout, minMissedTurns*time.Duration(t.farTurns)*t.options.FarInterval, minMissedTurns*p.last.turn())
 }
 
 // Handle processes a heartbeat. It returns false if the heartbeat is not newer than the
 // latest one of its sender.
-func (b *PeerTable) Handle(now time.Time, from netip.AddrPort, h *Heartbeat) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h.From == b.options.Self {
+func (t *PeerTable) Handle(now time.Time, from netip.AddrPort, h *Heartbeat) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if h.From == t.options.Self {
 		return false
 	}
-	p := b.peers[from]
+	p := t.peers[from]
 	if p == nil {
 		p = &peer{address: from}
-		b.peers[from] = p
+		t.peers[from] = p
 	}
 	if p.last != nil && !isNewer(h, p.last) {
 		return false
 	}
-	b.setLoadsCounted(p, false)
-	if p.last == nil && h.DataCentre == b.options.DataCentre {
-		b.lastNewNearPeer = now
+	t.setLoadsCounted(p, false)
+	if p.last == nil && h.DataCentre == t.options.DataCentre {
+		t.lastNewNearPeer = now
 	}
 	newLife := p.last == nil || h.Incarnation != p.last.Incarnation
 	if newLife {
 		p.alarmSequence = 0
-		b.addNewPeer(p)
+		t.addNewPeer(p)
 	}
 	if newLife || h.Sequence > p.alarmSequence {
-		b.markReportsChanged(p)
+		t.markReportsChanged(p)
 		p.reports = makeSilenceReports(now, h.Loads)
 	}
 	p.last, p.lastHeard = h, now
-	b.setLoadsCounted(p, true)
-	b.addAddresses(now, h.Peers)
-	b.markSeedsSeen(from, h.Peers)
+	t.setLoadsCounted(p, true)
+	t.addAddresses(now, h.Peers)
+	t.markSeedsSeen(from, h.Peers)
 	return true
 }
 
@@ -287,9 +289,9 @@
 )
 
 // addNewPeer queues a VM that has started, or is heard for the first time, for an answer.
-func (b *PeerTable) addNewPeer(p *peer) {
-	if len(b.newPeers) < maxNewPeers && !slices.Contains(b.newPeers, p) {
-		b.newPeers = append(b.newPeers, p)
+func (t *PeerTable) addNewPeer(p *peer) {
+	if len(t.newPeers) < maxNewPeers && !slices.Contains(t.newPeers, p) {
+		t.newPeers = append(t.newPeers, p)
 	}
 }
 
--- a/core/heartbeat/board_test.go
+++ b/core/heartbeat/board_test.go
@@ -23,9 +23,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 7000)
 }
 
-// newBoard returns the table of VM n. VMs with odd numbers are in data centre a, those
+// newPeerTable returns the table of VM n. VMs with odd numbers are in data centre a, those
 // with even numbers in b.
-func newBoard(n int, seeds ...int) *PeerTable {
+func newPeerTable(n int, seeds ...int) *PeerTable {
 	o := Options{Self: baobabstep.VMID(n), DataCentre: dataCentre(n), Address: address(n), Incarnation: 1, Rand: rand.New(rand.NewPCG(1, uint64(n)))}
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, address(s))
@@ -35,14 +35,14 @@
 
 func dataCentre(n int) string { return []string{"b", "a"}[n%2] }
 
-func newHeartbeat(n int, life, number uint64) *Heartbeat {
-	return &Heartbeat{From: baobabstep.VMID(n), DataCentre: dataCentre(n), Incarnation: life, Sequence: number}
+func newHeartbeat(n int, incarnation, sequence uint64) *Heartbeat {
+	return &Heartbeat{From: baobabstep.VMID(n), DataCentre: dataCentre(n), Incarnation: incarnation, Sequence: sequence}
 }
 
 // Guards against delayed or replayed heartbeats that restore an earlier state of their
 // sender or make a dead VM live.
 func TestStaleHeartbeatsAreIgnored(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	qt.Assert(t, b.Handle(start, address(3), newHeartbeat(3, 5, 10)), qt.IsTrue)
 	for _, old := range []*Heartbeat{newHeartbeat(3, 5, 10), newHeartbeat(3, 5, 9), newHeartbeat(3, 4, 99)} {
 		qt.Assert(t, b.Handle(start.Add(time.Minute), address(3), old), qt.IsFalse)
@@ -52,25 +52,25 @@
 }
 
 func TestRank(t *testing.T) {
-	b := newBoard(5)
+	b := newPeerTable(5)
 	for _, n := range []int{1, 3, 7, 2, 4, 6} { // even ones are in another data centre
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	qt.Assert(t, b.Rank(start, false), qt.Equals, Rank{Near: 2, Far: 1})
 	later := start.Add(b.options.PeerTimeout)
 	for _, test := range []struct {
-		name string
-		say  func(h *Heartbeat)
-		want Rank
+		name   string
+		modify func(h *Heartbeat)
+		want   Rank
 	}{
 		{"silent VMs do not count", func(*Heartbeat) {}, Rank{Near: 1}},
 		{"leaving VMs do not count", func(h *Heartbeat) { h.Leaving = true }, Rank{}},
 		{"VMs that cannot read the store do not count", func(h *Heartbeat) { h.StoreUnreadable = true }, Rank{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHeartbeat(3, 1, b.number+2)
-			b.number++
-			test.say(h)
+			h := newHeartbeat(3, 1, b.sequence+2)
+			b.sequence++
+			test.modify(h)
 			b.Handle(later, address(3), h)
 			qt.Assert(t, b.Rank(later, false), qt.Equals, test.want)
 		})
@@ -81,7 +81,7 @@
 // sent it a request every second. VMs that cannot read the store rank among each other,
 // after any VM that can.
 func TestRankWithoutStore(t *testing.T) {
-	b := newBoard(5)
+	b := newPeerTable(5)
 	for _, n := range []int{1, 3, 7} {
 		h := newHeartbeat(n, 1, 1)
 		h.StoreUnreadable = n != 7
@@ -94,7 +94,7 @@
 // Guards against announcements that miss a data centre. They go to some VMs of the own
 // one, and to one VM of each other.
 func TestAnnounce(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	for _, n := range []int{3, 5, 2, 4} {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
@@ -111,15 +111,15 @@
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
 	qt.Assert(t, to(true), qt.HasLen, b.options.AnnounceFanout+1)
-	spread := b.ChangeRecipients(start, true)
-	qt.Assert(t, spread, qt.HasLen, 30)
+	recipients := b.ChangeRecipients(start, true)
+	qt.Assert(t, recipients, qt.HasLen, 30)
 }
 
 // Guards against VMs that all request new content from the same VM when they learn of it
 // at the same time. With thirty VMs, that saturated its link for 0.2 s.
 func TestNewerSpreadsRequests(t *testing.T) {
-	b := newBoard(1)
-	asked := map[netip.AddrPort]int{}
+	b := newPeerTable(1)
+	requests := map[netip.AddrPort]int{}
 	for _, n := range []int{3, 5, 7, 9} {
 		h := newHeartbeat(n, 1, 1)
 		h.Versions[Targets] = MakeVersionInfo(revisionOf(10), 77, 0)
@@ -128,16 +128,16 @@
 	for range 400 {
 		from, ok := b.FindNewer(start, Targets, revisionOf(9), 66)
 		qt.Assert(t, ok, qt.IsTrue)
-		asked[from]++
+		requests[from]++
 	}
-	for n, times := range asked {
+	for n, times := range requests {
 		qt.Assert(t, times > 60, qt.IsTrue, qt.Commentf("%v: %d of 400", n, times))
 	}
-	qt.Assert(t, asked, qt.HasLen, 4)
+	qt.Assert(t, requests, qt.HasLen, 4)
 }
 
 func TestNewer(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	say := func(n int, number, version, sum uint64, age time.Duration) {
 		h := newHeartbeat(n, 1, number)
 		h.Versions[Targets] = MakeVersionInfo(revisionOf(version), sum, age)
@@ -204,7 +204,7 @@
 // change their loads, fall silent, restart at the same address or are removed.
 func TestLoadSumsMatchLiveVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBoard(1)
+		b := newPeerTable(1)
 		accumulated := make(loadsByTarget)
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -236,7 +236,7 @@
 	})
 }
 
-// loadsByTarget accumulates the changes that successive calls of Board.Loads return.
+// loadsByTarget accumulates the changes that successive calls of PeerTable.Loads return.
 type loadsByTarget map[baobabstep.TargetID]baobabstep.TargetLoad
 
 func (l loadsByTarget) apply(changed map[baobabstep.TargetID]baobabstep.TargetLoad) loadsByTarget {
@@ -295,7 +295,7 @@
 }
 
 func TestLoads(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	for n, load := range map[int]Load{
 		2: {RequestTenths: 15, Unanswered: 9, Opens: 9}, 3: {RequestTenths: 30, Unanswered: 1, Opens: 1}, 5: {Unanswered: 2, Opens: 1}, 7: {Unanswered: 2},
 	} {
@@ -319,7 +319,7 @@
 // saturated. VMs that receive its answers report when they last did. Reports from other
 // data centres are ignored.
 func TestDisputedSilence(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	own := []baobabstep.TargetLoad{
 		{Target: 9, HeardAt: start.Add(-50 * time.Millisecond), Disputed: true},
 		{Target: 10, HeardAt: start.Add(-50 * time.Millisecond)},
@@ -338,7 +338,7 @@
 
 // Guards against VMs of a large fleet that count as dead because their turns are rare.
 func TestTurnsExtendTimeout(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	for n := 3; n < 60; n += 2 {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
@@ -352,7 +352,7 @@
 func TestDiscovery(t *testing.T) {
 	boards := map[netip.AddrPort]*PeerTable{}
 	for n := 1; n <= 9; n++ {
-		boards[address(n)] = newBoard(n, 1, 2, 99)
+		boards[address(n)] = newPeerTable(n, 1, 2, 99)
 	}
 	now := start
 	for range 30 {
@@ -430,7 +430,7 @@
 // Guards against VMs of a large fleet that send heartbeats to all others in one round, or
 // never to some of them.
 func TestFanoutIsBounded(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	for n := 2; n < 120; n++ {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
@@ -453,7 +453,7 @@
 // within one. Traffic between data centres costs money, so only the largest loads are
 // sent.
 func TestFarHeartbeatsHaveFewerLoads(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	for n := 2; n < 8; n++ {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
@@ -501,7 +501,7 @@
 		for _, fanout := range []int{minRelayFanout, maxRelayFanout} {
 			boards := make(map[netip.AddrPort]*PeerTable)
 			for n := 1; n <= 2*vms; n += 2 { // odd VMs share a data centre
-				b := newBoard(n)
+				b := newPeerTable(n)
 				for other := 1; other <= 2*vms; other += 2 {
 					b.Handle(start, address(other), newHeartbeat(other, 1, 1))
 				}
@@ -528,7 +528,7 @@
 
 func TestRelayDelay(t *testing.T) {
 	for vms, want := range map[int]time.Duration{1: 0, 4: 0, 5: relayHopDelay, 20: relayHopDelay, 21: 2 * relayHopDelay, 200: 3 * relayHopDelay, 400: 4 * relayHopDelay} {
-		b := newBoard(1)
+		b := newPeerTable(1)
 		for n := range vms {
 			b.Handle(start, address(3+2*n), newHeartbeat(3+2*n, 1, 1))
 		}
--- a/core/heartbeat/change.go
+++ b/core/heartbeat/change.go
@@ -8,8 +8,8 @@
 	"baobabstep"
 )
 
-// NewRoutesChange returns the change from one sorted routing table to another. held describes
-// the new one.
+// NewRoutesChange returns the change from one sorted routing table to another. held
+// describes the new one.
 func NewRoutesChange(from, to *baobabstep.RoutingTable, fromSum uint64, held VersionInfo) *Change {
 	c := &Change{Kind: Routes, BaseChecksum: fromSum, Result: held, IdleTimeout: to.IdleTimeout}
 	old := make(map[string]*baobabstep.Rule, len(from.Rules))
--- a/core/heartbeat/fanout.go
+++ b/core/heartbeat/fanout.go
@@ -31,8 +31,8 @@
 
 // computeFanouts returns the fan-outs for the given loads. In a large data centre with
 // little traffic, heartbeats at full fan-out would outnumber the requests.
-func (b *PeerTable) computeFanouts(now time.Time, loads []baobabstep.TargetLoad) fanouts {
-	full := fanouts{near: b.options.NearFanout, far: b.options.FarFanout}
+func (t *PeerTable) computeFanouts(now time.Time, loads []baobabstep.TargetLoad) fanouts {
+	full := fanouts{near: t.options.NearFanout, far: t.options.FarFanout}
 	requests := 0.0
 	for i := range loads {
 		requests += loads[i].Requests
@@ -42,19 +42,19 @@
 		far:  min(max(int(requests/requestsPerHeartbeat), minFarFanout), full.far),
 	}
 	near, rank := 0, 0
-	for _, p := range b.peers {
-		if p.last == nil || p.last.DataCentre != b.options.DataCentre {
+	for _, p := range t.peers {
+		if p.last == nil || p.last.DataCentre != t.options.DataCentre {
 			continue
 		}
 		near++
-		if p.last.From < b.options.Self && b.isLive(now, p) {
+		if p.last.From < t.options.Self && t.isLive(now, p) {
 			rank++
 		}
 	}
 	if near < largeDataCentre {
 		adaptive = full
 	}
-	if now.Sub(b.started) < fullFanoutPeriod || rank < storeReaders {
+	if now.Sub(t.started) < fullFanoutPeriod || rank < storeReaders {
 		return full
 	}
 	return adaptive
--- a/core/heartbeat/fanout_test.go
+++ b/core/heartbeat/fanout_test.go
@@ -14,7 +14,7 @@
 // countNearHeartbeats returns the number of heartbeats that VM 9 sends within its data
 // centre in ten seconds, after its startup period, with the given number of other VMs.
 func countNearHeartbeats(vms int, own LocalState) (sent int, b *PeerTable) {
-	b = newBoard(9)
+	b = newPeerTable(9)
 	now := start.Add(time.Minute)
 	for n := range vms {
 		number := 2*n + 1
@@ -60,7 +60,7 @@
 func TestSlowSendersStayLive(t *testing.T) {
 	sent, b := countNearHeartbeats(120, ownWithRequests(0))
 	qt.Assert(t, sent, qt.Equals, 100)
-	other := newBoard(11)
+	other := newPeerTable(11)
 	h := b.Tick(start.Add(71*time.Second), ownWithRequests(0))[0].Message.Heartbeat
 	qt.Assert(t, h.TurnMS, qt.Equals, uint32(12000))
 	other.Handle(start, address(9), h)
@@ -74,7 +74,7 @@
 	const vms = 60
 	boards := make([]*PeerTable, vms)
 	for i := range boards {
-		boards[i] = newBoard(2*i + 1)
+		boards[i] = newPeerTable(2*i + 1)
 		for j := range boards {
 			if i != j {
 				boards[i].Handle(start, address(2*j+1), newHeartbeat(2*j+1, 1, 1))
@@ -100,7 +100,7 @@
 
 // Guards against a newly started VM that learns of other VMs only when its turn comes.
 func TestNewPeersGetHeartbeat(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	for n := 3; n < 120; n += 2 {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
@@ -118,7 +118,7 @@
 // Guards against VMs that never get a heartbeat because unreachable seeds take their
 // turns.
 func TestUnreachableSeedsTakeNoTurns(t *testing.T) {
-	b := newBoard(1, 201, 203, 205)
+	b := newPeerTable(1, 201, 203, 205)
 	for n := 3; n < 35; n += 2 { // two rounds
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
 	}
@@ -139,7 +139,7 @@
 
 // Guards against answers to new peers that saturate the link of a seed.
 func TestAnswersToNewPeersAreBounded(t *testing.T) {
-	b := newBoard(1)
+	b := newPeerTable(1)
 	answered := 0
 	for n := 3; n < 600; n += 2 {
 		b.Handle(start, address(n), newHeartbeat(n, 1, 1))
--- a/core/heartbeat/load.go
+++ b/core/heartbeat/load.go
@@ -107,26 +107,26 @@
 }
 
 // setLoadsCounted adds the loads of a peer to loadSums, or removes them.
-func (b *PeerTable) setLoadsCounted(p *peer, counted bool) {
+func (t *PeerTable) setLoadsCounted(p *peer, counted bool) {
 	switch {
 	case p.loadsCounted == counted:
 		return
 	case counted:
-		b.loadSums.add(p.last.Loads)
+		t.loadSums.add(p.last.Loads)
 	default:
-		b.loadSums.remove(p.last.Loads)
+		t.loadSums.remove(p.last.Loads)
 	}
 	p.loadsCounted = counted
 	for i := range p.last.Loads {
-		b.changedTargets[p.last.Loads[i].Target] = struct{}{}
+		t.changedTargets[p.last.Loads[i].Target] = struct{}{}
 	}
-	b.markReportsChanged(p)
+	t.markReportsChanged(p)
 }
 
 // markReportsChanged marks the targets in a peer's reports as changed.
-func (b *PeerTable) markReportsChanged(p *peer) {
+func (t *PeerTable) markReportsChanged(p *peer) {
 	for id := range p.reports {
-		b.changedTargets[id] = struct{}{}
+		t.changedTargets[id] = struct{}{}
 	}
 }
 
@@ -135,11 +135,11 @@
 func (l Load) hasSilence() bool { return l.Unanswered > 0 || l.Opens > 0 || l.HeardMS > 0 }
 
 // MarkLoadsChanged marks targets as changed, so that the next call of Loads includes them.
-func (b *PeerTable) MarkLoadsChanged(targets []baobabstep.TargetID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *PeerTable) MarkLoadsChanged(targets []baobabstep.TargetID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, id := range targets {
-		b.changedTargets[id] = struct{}{}
+		t.changedTargets[id] = struct{}{}
 	}
 }
 
@@ -148,25 +148,25 @@
 // reports of those of the own data centre. A target that is silent for VMs of other data
 // centres may only be unreachable from there. The value is zero for a target that no VM
 // reports any more.
-func (b *PeerTable) Loads(now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, p := range b.peers {
+func (t *PeerTable) Loads(now time.Time) map[baobabstep.TargetID]baobabstep.TargetLoad {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, p := range t.peers {
 		if p.last != nil {
-			b.setLoadsCounted(p, b.isLive(now, p))
+			t.setLoadsCounted(p, t.isLive(now, p))
 		}
 	}
-	loads := make(map[baobabstep.TargetID]baobabstep.TargetLoad, len(b.changedTargets))
-	for id := range b.changedTargets {
-		if sum := b.loadSums[id]; sum != nil {
+	loads := make(map[baobabstep.TargetID]baobabstep.TargetLoad, len(t.changedTargets))
+	for id := range t.changedTargets {
+		if sum := t.loadSums[id]; sum != nil {
 			loads[id] = sum.load()
 		} else {
 			loads[id] = baobabstep.TargetLoad{}
 		}
 	}
-	clear(b.changedTargets)
-	for _, p := range b.peers {
-		if !p.loadsCounted || p.last.DataCentre != b.options.DataCentre {
+	clear(t.changedTargets)
+	for _, p := range t.peers {
+		if !p.loadsCounted || p.last.DataCentre != t.options.DataCentre {
 			continue
 		}
 		for id, r := range p.reports {
@@ -182,14 +182,14 @@
 // maxHeardMS is the largest HeardMS.
 const maxHeardMS = 1<<16 - 1
 
-// maxLeftMS is the largest LeftMS that is sent. Older flows have no effect, and larger
-// values would take a third byte.
+// maxLeftMS is the largest LastUnansweredMS that is sent. Older flows have no effect, and
+// larger values would take a third byte.
 const maxLeftMS = 1<<14 - 1
 
 // maxCount is the largest count of flows that a Load can hold.
 const maxCount = 255
 
-// tenthsPerRequest is the number of units of Load.Tenths per request.
+// tenthsPerRequest is the number of units of Load.RequestTenths per request.
 const tenthsPerRequest = 10
 
 // MakeLoads returns the loads for a heartbeat, sorted by target. It is limited to most
--- a/core/heartbeat/message.go
+++ b/core/heartbeat/message.go
@@ -52,8 +52,9 @@
 type Heartbeat struct {
 	From       baobabstep.VMID `cbor:"1,keyasint"`
 	DataCentre string          `cbor:"2,keyasint"`
-	// Incarnation is the incarnation number of the VM: its start time by its own clock, in
-	// milliseconds. Number is the sequence number within the incarnation.
+	// Incarnation is the start time of the VM by its own clock, in milliseconds, so that a
+	// later incarnation has a greater one. Sequence counts the messages of the
+	// incarnation.
 	Incarnation uint64 `cbor:"3,keyasint"`
 	Sequence    uint64 `cbor:"4,keyasint"`
 	// Leaving is set once the VM has begun a planned stop.
@@ -65,8 +66,8 @@
 	Loads    Loads                     `cbor:"8,keyasint"`
 	// Peers are some VMs from which the sender receives heartbeats.
 	Peers []netip.AddrPort `cbor:"9,keyasint,omitempty"`
-	// EvacuationsVersion is the sender's version of Evacuations. The version number is 0 if
-	// the sender does not support that kind.
+	// EvacuationsVersion is the sender's version of Evacuations. Its number is 0 if the
+	// sender does not support that kind.
 	EvacuationsVersion VersionInfo `cbor:"10,keyasint,omitzero"`
 	// TurnMS is the time in milliseconds in which the sender sends one heartbeat to each
 	// VM of its data centre or, for a receiver elsewhere, of all others; 0 if not set.
@@ -104,41 +105,43 @@
 	// revision of the store, as for Targets.
 	Evacuations // evacuations
 
-	// NumKinds is the number of kinds, and chunkedKinds the number of those that are sent in
-	// chunks.
+	// NumKinds is the number of kinds, and chunkedKinds the number of those that are sent
+	// in chunks.
 	NumKinds     = 3
 	chunkedKinds = 2
 )
 
-// VersionInfo describes the version of one kind of content that a VM holds, and its freshness.
+// VersionInfo describes the version of one kind of content that a VM holds, and its
+// freshness.
 type VersionInfo struct {
-	// Number is 0 if the VM holds none.
+	// Number is 0 if the VM holds no version.
 	Number uint64 `cbor:"1,keyasint,omitempty"`
 	// Checksum is the checksum of the content.
 	Checksum uint64 `cbor:"2,keyasint,omitempty"`
 	// AgeMS is the time, in milliseconds, since the store was last known to hold nothing
 	// newer, either by a request of the sender or of another VM.
 	AgeMS uint32 `cbor:"3,keyasint,omitempty"`
-	// Era is the era of the store's revision in Version, and 0 for routes.
+	// Era is the era of the store's revision, and 0 for routes.
 	Era uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// MakeVersionInfo returns the description of content with the given revision, checksum and age.
+// MakeVersionInfo returns the description of content with the given revision, checksum and
+// age.
 func MakeVersionInfo(revision baobabstep.Revision, sum uint64, age time.Duration) VersionInfo {
 	return VersionInfo{Number: revision.Number, Era: revision.Era, Checksum: sum, AgeMS: uint32(min(max(0, age.Milliseconds()), maxAgeMS))}
 }
 
-// Revision returns Version with its era.
-func (h VersionInfo) Revision() baobabstep.Revision {
-	return baobabstep.Revision{Era: h.Era, Number: h.Number}
+// Revision returns the revision of the version.
+func (v VersionInfo) Revision() baobabstep.Revision {
+	return baobabstep.Revision{Era: v.Era, Number: v.Number}
 }
 
 // Age returns AgeMS as a duration.
-func (h VersionInfo) Age() time.Duration { return time.Duration(h.AgeMS) * time.Millisecond }
+func (v VersionInfo) Age() time.Duration { return time.Duration(v.AgeMS) * time.Millisecond }
 
-// ConfirmedAge returns the time since the store was last known, by the sender, to hold nothing
-// newer than the content with the given checksum. It returns false if the sender holds
-// other content or none.
+// ConfirmedAge returns the time since the store was last known, by the sender, to hold
+// nothing newer than the content with the given checksum. It returns false if the sender
+// holds other content or none.
 func (h *Heartbeat) ConfirmedAge(kind Kind, sum uint64) (age time.Duration, ok bool) {
 	held := h.VersionOf(kind)
 	return held.Age(), held.Number > 0 && held.Checksum == sum
@@ -156,15 +159,15 @@
 	// target. It is set only for targets that another VM reports as silent.
 	HeardMS uint16
 	// AnswerTenths is the number of recent requests with a known outcome, and FailedTenths
-	// the number of those that failed, both times ten. TookMS is the mean response time of
-	// the others in milliseconds. They are set only for targets that differ from the
+	// the number of those that failed, both times ten. LatencyMS is the mean response time
+	// of the others in milliseconds. They are set only for targets that differ from the
 	// others.
 	AnswerTenths, FailedTenths uint16
 	LatencyMS                  uint16
-	// Callers are the callers whose requests failed, as an answer.Callers.
+	// Callers are the callers whose requests failed, as an answer.CallerSet.
 	Callers uint16
-	// LastUnansweredMS is the time in milliseconds since the last of the unanswered flows was found
-	// to be unanswered.
+	// LastUnansweredMS is the time in milliseconds since the last of the unanswered flows
+	// was found to be unanswered.
 	LastUnansweredMS uint16
 	// Vanished is the number of consecutive flows that the target seems to have refused.
 	Vanished uint8
@@ -176,11 +179,11 @@
 // Request is a request for the receiver's content of one kind.
 type Request struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
-	// Number and Era are the version that the sender holds, as in Held.
+	// Number and Era are the version that the sender holds, as in VersionInfo.
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 	Era    uint64 `cbor:"3,keyasint,omitempty"`
-	// Checksum is the checksum of the content that the sender holds, to request a change to it.
-	// 0 requests the complete content.
+	// Checksum is the checksum of the content that the sender holds, to request a change
+	// to it. 0 requests the complete content.
 	Checksum uint64 `cbor:"4,keyasint,omitempty"`
 	// Digests are the bucket digests of the sender's registrations. If set, they request
 	// sections of the buckets that differ.
@@ -193,15 +196,15 @@
 }
 
 // Revision returns the revision that the sender holds.
-func (w *Request) Revision() baobabstep.Revision {
-	return baobabstep.Revision{Era: w.Era, Number: w.Number}
+func (r *Request) Revision() baobabstep.Revision {
+	return baobabstep.Revision{Era: r.Era, Number: r.Number}
 }
 
-// Chunk is one chunk of the encoded content of a kind.
+// Chunk is one part of the encoded content of a kind.
 type Chunk struct {
 	Kind        Kind        `cbor:"1,keyasint,omitempty"`
 	VersionInfo VersionInfo `cbor:"2,keyasint"`
-	// ContentChecksum is the checksum of the complete content.
+	// ContentChecksum is the checksum of the complete encoded content.
 	ContentChecksum uint64 `cbor:"3,keyasint"`
 	Index           uint16 `cbor:"4,keyasint,omitempty"`
 	Count           uint16 `cbor:"5,keyasint"`
@@ -214,8 +217,8 @@
 // segments of callers would be lost.
 type Change struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
-	// BaseChecksum is the checksum of the content that the change applies to, and To describes the
-	// result.
+	// BaseChecksum is the checksum of the content that the change applies to, and Result
+	// describes the result.
 	BaseChecksum uint64      `cbor:"2,keyasint"`
 	Result       VersionInfo `cbor:"3,keyasint"`
 	// IdleTimeout is the idle timeout of the new routing table.
@@ -226,8 +229,8 @@
 	Rules          []ruleBody            `cbor:"6,keyasint,omitempty"`
 	RemovedTargets []baobabstep.TargetID `cbor:"7,keyasint,omitempty"`
 	Targets        []targetBody          `cbor:"8,keyasint,omitempty"`
-	// ColdLimits are all those of the new routing table. They are set only if ColdLimitsChanged
-	// is set.
+	// ColdLimits are all those of the new routing table. They are set only if
+	// ColdLimitsChanged is set.
 	ColdLimitsChanged bool            `cbor:"9,keyasint,omitempty"`
 	ColdLimits        []coldLimitBody `cbor:"10,keyasint,omitempty"`
 	// Origin is the root of the relay tree: the VM that first sent the change within the
--- a/core/heartbeat/registrations.go
+++ b/core/heartbeat/registrations.go
@@ -8,9 +8,9 @@
 )
 
 // Registrations is the list of all registered targets. Its checksum, the sum of the
-// checksums of all registrations, is updated incrementally. So a change takes time in
-// proportion to its own size, not that of the list, of which several entries of thousands
-// change in a second.
+// checksums of all registrations, is updated incrementally. So the cost of a change
+// depends on its own size, not on that of the list; several of thousands of registrations
+// change per second.
 //
 // The registrations are divided into buckets with separate checksums, so that two VMs can
 // tell which of their buckets differ.
@@ -86,8 +86,8 @@
 	return list
 }
 
-// Difference is a change of registrations: Put are added or replaced, Gone are removed. No
-// target occurs in it twice.
+// Difference is a change of registrations: Put are added or replaced, Removed are removed.
+// No target occurs in it twice.
 type Difference struct {
 	Put     []baobabstep.Registration
 	Removed []baobabstep.TargetID
@@ -133,8 +133,8 @@
 	return d
 }
 
-// ChecksumAfter returns the checksum that results from applying a difference, without applying
-// it. Errors: CodeInternal.
+// ChecksumAfter returns the checksum that results from applying a difference, without
+// applying it. Errors: CodeInternal.
 func (r *Registrations) ChecksumAfter(d Difference) (uint64, error) {
 	put, err := withChecksums(d.Put)
 	if err != nil {
--- a/core/heartbeat/section.go
+++ b/core/heartbeat/section.go
@@ -181,10 +181,10 @@
 // nextRow decodes the first registration in b and returns the remaining bytes.
 func (s *Section) nextRow(b []byte) (r baobabstep.Registration, rest []byte, err error) {
 	in := rowReader{b: b}
-	r.ID = baobabstep.TargetID(in.varint())
+	r.ID = baobabstep.TargetID(in.uvarint())
 	r.Address = in.address()
 	r.Service, r.DataCentre, r.Release = in.name(s.Names), in.name(s.Names), in.name(s.Names)
-	slots, draining, cold, life := in.varint(), in.varint(), in.varint(), in.varint()
+	slots, draining, cold, life := in.uvarint(), in.uvarint(), in.uvarint(), in.uvarint()
 	if in.failed || r.ID == 0 || !r.Address.IsValid() || slots < 1 || slots > maxSlots || draining > 1 || int64(cold) < 0 {
 		return r, nil, malformedSection("invalid registration in the last %d bytes", len(b))
 	}
@@ -201,7 +201,7 @@
 	failed bool
 }
 
-func (in *rowReader) varint() uint64 {
+func (in *rowReader) uvarint() uint64 {
 	v, n := binary.Uvarint(in.b)
 	if n <= 0 {
 		in.failed, in.b = true, nil
@@ -225,7 +225,7 @@
 }
 
 func (in *rowReader) name(names []string) string {
-	i := in.varint()
+	i := in.uvarint()
 	if i >= uint64(len(names)) {
 		in.failed = true
 		return ""
--- a/core/heartbeat/view.go
+++ b/core/heartbeat/view.go
@@ -23,14 +23,14 @@
 // that no VM has heard, may be in one part of a partition, with others in the other part
 // in the same
 // situation.
-func (b *PeerTable) View(now time.Time) *quota.View {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next := quota.View{Self: b.options.Self, Others: b.nearVMIDs(), Settled: b.knowsAllNear(now)}
-	if b.view == nil || b.view.Settled != next.Settled || !slices.Equal(b.view.Others, next.Others) {
-		b.view = &next
+func (t *PeerTable) View(now time.Time) *quota.View {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	next := quota.View{Self: t.options.Self, Others: t.nearVMIDs(), Settled: t.knowsAllNear(now)}
+	if t.view == nil || t.view.Settled != next.Settled || !slices.Equal(t.view.Others, next.Others) {
+		t.view = &next
 	}
-	return b.view
+	return t.view
 }
 
 // discoveryPeriod is the time after the start after which a VM is assumed to have
@@ -40,20 +40,20 @@
 // KnowsOthers reports whether the VM is assumed to know enough of the others to determine
 // its rank. Either it started a while ago, or it has discovered VMs, and did not hear
 // another VM of its data centre for the first time recently.
-func (b *PeerTable) KnowsOthers(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now.Sub(b.started) >= discoveryPeriod {
+func (t *PeerTable) KnowsOthers(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if now.Sub(t.started) >= discoveryPeriod {
 		return true
 	}
-	if now.Sub(b.lastNewNearPeer) < settlePeriod {
+	if now.Sub(t.lastNewNearPeer) < settlePeriod {
 		return false
 	}
-	if len(b.unseenSeeds) == 0 {
+	if len(t.unseenSeeds) == 0 {
 		return true
 	}
-	for _, p := range b.peers {
-		if b.isLive(now, p) {
+	for _, p := range t.peers {
+		if t.isLive(now, p) {
 			return true
 		}
 	}
@@ -61,9 +61,9 @@
 }
 
 // nearVMIDs returns the identifiers of all other known VMs of the own data centre, sorted.
-func (b *PeerTable) nearVMIDs() (list []baobabstep.VMID) {
-	for _, p := range b.peers {
-		if p.last != nil && p.last.DataCentre == b.options.DataCentre {
+func (t *PeerTable) nearVMIDs() (list []baobabstep.VMID) {
+	for _, p := range t.peers {
+		if p.last != nil && p.last.DataCentre == t.options.DataCentre {
 			list = append(list, p.last.From)
 		}
 	}
@@ -72,16 +72,16 @@
 }
 
 // knowsAllNear reports whether the VM is assumed to know all others of its data centre.
-func (b *PeerTable) knowsAllNear(now time.Time) bool {
-	if now.Sub(b.lastNewNearPeer) < settlePeriod || now.Sub(b.started) < b.options.RemovalTimeout && len(b.unseenSeeds) > 0 {
+func (t *PeerTable) knowsAllNear(now time.Time) bool {
+	if now.Sub(t.lastNewNearPeer) < settlePeriod || now.Sub(t.started) < t.options.RemovalTimeout && len(t.unseenSeeds) > 0 {
 		return false
 	}
 	alone := true
-	for _, p := range b.peers {
-		if b.isLive(now, p) {
+	for _, p := range t.peers {
+		if t.isLive(now, p) {
 			return true
 		}
-		alone = alone && p.last == nil && !slices.Contains(b.options.Seeds, p.address)
+		alone = alone && p.last == nil && !slices.Contains(t.options.Seeds, p.address)
 	}
 	return alone
 }
--- a/core/heartbeat/view_test.go
+++ b/core/heartbeat/view_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestViewKeepsSilentVMs(t *testing.T) {
-	b := newBoard(1, 3)
+	b := newPeerTable(1, 3)
 	qt.Assert(t, b.View(start).Settled, qt.IsFalse)
 	b.Handle(start, address(3), newHeartbeat(3, 1, 1))
 	b.Handle(start, address(2), newHeartbeat(2, 1, 1)) // another data centre
@@ -39,7 +39,7 @@
 		qt.Assert(t, *at(later), qt.DeepEquals, quota.View{Self: 1, Others: []baobabstep.VMID{3, 5}})
 	})
 	t.Run("settled if the only seed is the VM itself", func(t *testing.T) {
-		b := newBoard(1, 1)
+		b := newPeerTable(1, 1)
 		qt.Assert(t, *b.View(start.Add(settlePeriod)), qt.DeepEquals, quota.View{Self: 1, Settled: true})
 	})
 }
@@ -207,17 +207,17 @@
 // Guards against most VMs of a starting fleet ranking themselves first.
 func TestKnowsOthers(t *testing.T) {
 	t.Run("no other VM, with seeds", func(t *testing.T) {
-		b := newBoard(1, 3)
+		b := newPeerTable(1, 3)
 		qt.Assert(t, b.KnowsOthers(start.Add(discoveryPeriod-1)), qt.IsFalse)
 		qt.Assert(t, b.KnowsOthers(start.Add(discoveryPeriod)), qt.IsTrue)
 	})
 	t.Run("alone", func(t *testing.T) {
-		b := newBoard(1, 1)
+		b := newPeerTable(1, 1)
 		qt.Assert(t, b.KnowsOthers(start.Add(settlePeriod-1)), qt.IsFalse)
 		qt.Assert(t, b.KnowsOthers(start.Add(settlePeriod)), qt.IsTrue)
 	})
 	t.Run("another VM just heard", func(t *testing.T) {
-		b := newBoard(1, 3)
+		b := newPeerTable(1, 3)
 		b.Handle(start.Add(time.Second), address(3), newHeartbeat(3, 1, 1))
 		qt.Assert(t, b.KnowsOthers(start.Add(time.Second+settlePeriod-1)), qt.IsFalse)
 		qt.Assert(t, b.KnowsOthers(start.Add(time.Second+settlePeriod)), qt.IsTrue)
