--- a/core/flow/baseline.go
+++ b/core/flow/baseline.go
@@ -13,13 +13,13 @@
 	"baobabstep/core/place"
 )
 
-// hashTable is consistent hashing with a local table, as balancers behind a
-// fabric that keeps a flow on one VM do it: the first packet of a flow that a
-// VM sees goes to the target with the best rendezvous score, and the VM
-// remembers it. Nothing passes between VMs.
+// hashTable is a baseline policy: consistent hashing with a local table, as in
+// load balancers behind a router that keeps each flow on one VM. The first
+// packet of a flow that a VM receives goes to the target with the best
+// rendezvous score, and the VM remembers the choice. VMs share no state.
 //
-// It is a baseline. When the targets change, a VM that has not seen a flow yet
-// sends it to another target than those that have.
+// Its known fault: after the targets change, a VM that receives a flow for the
+// first time sends it to another target than the VMs before it.
 type hashTable struct {
 	config atomic.Pointer[baobabstep.Config]
 	flows  localTable
@@ -27,13 +27,13 @@
 
 func newHashTable() *hashTable { return &hashTable{flows: newLocalTable()} }
 
-// SetConfig puts a configuration in force.
+// SetConfig applies a configuration.
 func (h *hashTable) SetConfig(_ time.Time, c *baobabstep.Config) { h.config.Store(c) }
 
-// SetView does nothing: VMs know nothing of each other.
+// SetView has no effect, since VMs share no state.
 func (h *hashTable) SetView(time.Time, *baobabstep.View) {}
 
-// SetPaused does nothing.
+// SetPaused has no effect.
 func (h *hashTable) SetPaused(time.Time, bool) {}
 
 // Handle sends a packet to its target, or an answer to its caller.
@@ -51,7 +51,7 @@
 	if !found {
 		tg := bestTarget(c.ServiceAt(p.Flow.Service), hash)
 		if tg == nil {
-			refuse(p, out)
+			sendRefusal(p, out)
 			return
 		}
 		flow = localFlow{target: *tg, heard: now}
@@ -61,16 +61,16 @@
 	sendTo(&flow.target, c.Version, p, out)
 }
 
-// Tick forgets flows that were idle for long.
+// Tick removes flows that were idle for localTTL.
 func (h *hashTable) Tick(now time.Time, _ *baobabstep.Outbox) { h.flows.expire(now) }
 
-// Stop has nothing to hand over.
+// Stop returns 0, since the policy hands nothing over.
 func (h *hashTable) Stop(time.Time, *baobabstep.Outbox) int { return 0 }
 
 // Stats returns the size of the table.
 func (h *hashTable) Stats() Stats { return h.flows.stats() }
 
-// Explain tells the target of a flow.
+// Explain returns the target of a flow.
 func (h *hashTable) Explain(key baobabstep.FlowKey) (Explanation, bool) {
 	c := h.config.Load()
 	if c == nil {
@@ -102,12 +102,12 @@
 	return xxhash.Sum64(b[:])
 }
 
-func refuse(p *baobabstep.Packet, out *baobabstep.Outbox) {
+func sendRefusal(p *baobabstep.Packet, out *baobabstep.Outbox) {
 	if p.Kind == baobabstep.KindReset || p.Kind == baobabstep.KindClose {
 		return
 	}
 	out.Caller(&baobabstep.Packet{
-		Kind: baobabstep.KindReset, FromTarget: true, Flow: p.Flow, Code: baobabstep.CodeNoTarget, RetryAfter: retryOpen,
+		Kind: baobabstep.KindReset, FromTarget: true, Flow: p.Flow, Code: baobabstep.CodeNoTarget, RetryAfter: openRetryAfter,
 	})
 }
 
@@ -118,16 +118,16 @@
 	*out = append(*out, s)
 }
 
-// localFlow is what a baseline remembers of a flow.
+// localFlow is the record of a flow in a baseline policy.
 type localFlow struct {
 	target baobabstep.Target
 	heard  time.Time
 }
 
-// localTTL is the idle time after which a baseline forgets a flow.
+// localTTL is the idle time after which a baseline policy removes a flow.
 const localTTL = 10 * time.Minute
 
-// localTable is a sharded table of flows of one VM.
+// localTable is a sharded flow table of a single VM.
 type localTable struct {
 	shards [64]*localShard
 }
@@ -154,7 +154,7 @@
 	return flow, found
 }
 
-// put stores a flow, or removes it if kind ends it.
+// put stores a flow, or removes it if the packet kind ends it.
 func (t *localTable) put(hash baobabstep.KeyHash, flow localFlow, kind baobabstep.Kind) {
 	s := t.shard(hash)
 	s.mu.Lock()
@@ -166,8 +166,8 @@
 	s.flows[hash] = flow
 }
 
-// expirePart bounds the flows of a shard that one call of expire looks at.
-const expirePart = 64
+// maxExpireScan bounds the flows of one shard that a call of expire examines.
+const maxExpireScan = 64
 
 func (t *localTable) expire(now time.Time) {
 	for _, s := range t.shards {
@@ -177,7 +177,7 @@
 			if now.Sub(flow.heard) > localTTL {
 				delete(s.flows, hash)
 			}
-			if n++; n == expirePart {
+			if n++; n == maxExpireScan {
 				break
 			}
 		}
--- a/core/flow/bench_test.go
+++ b/core/flow/bench_test.go
@@ -13,9 +13,9 @@
 	"baobabstep/core/flow"
 )
 
-// filled returns a router that holds n established flows, and their keys.
-func filled(tb testing.TB, n int) (*flow.Router, *exchange, []baobabstep.FlowKey) {
-	x := newExchange(tb, fleet{vms: 1, dcs: 1, targets: 15})
+// filledRouter returns a router with n established flows, and their keys.
+func filledRouter(tb testing.TB, n int) (*flow.Router, *testNetwork, []baobabstep.FlowKey) {
+	x := newTestNetwork(tb, fleet{vms: 1, dcs: 1, targets: 15})
 	self := x.vms[0].ID
 	r := flow.New(x.now, flow.Options{
 		Self: self, DataCentre: "dc0", Chooser: x.choosers[self], Rand: rand.New(rand.NewPCG(1, 1)),
@@ -39,7 +39,7 @@
 }
 
 func TestHeldFlowDoesNotAllocate(t *testing.T) {
-	r, x, keys := filled(t, 1000)
+	r, x, keys := filledRouter(t, 1000)
 	out := make(baobabstep.Outbox, 0, 8)
 	p := baobabstep.Packet{Kind: baobabstep.KindData}
 	i := 0
@@ -56,7 +56,7 @@
 func TestRecordsStayUnder100Bytes(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{28_000, 50_000} {
-		r, _, _ := filled(t, n)
+		r, _, _ := filledRouter(t, n)
 		per := float64(r.Stats().Bytes) / float64(n)
 		t.Logf("%d flows: %.1f bytes a record", n, per)
 		qt.Assert(t, per < 100, qt.IsTrue)
@@ -66,11 +66,12 @@
 func BenchmarkHeldFlow(b *testing.B) {
 	for _, n := range []int{1000, 28_000, 100_000, 500_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, x, keys := filled(b, n)
+			r, x, keys := filledRouter(b, n)
 			out := make(baobabstep.Outbox, 0, 8)
 			p := baobabstep.Packet{Kind: baobabstep.KindData}
-			// A packet's key comes from its read buffer, and its record
-			// from anywhere: only the records are in random order.
+			// In production the key comes from the read buffer and
+			// the record from anywhere in memory, so only the
+			// records are in random order.
 			random := rand.New(rand.NewPCG(3, 4))
 			random.Shuffle(n, func(i, j int) { keys[i], keys[j] = keys[j], keys[i] })
 			runtime.GC()
@@ -88,7 +89,7 @@
 }
 
 func BenchmarkHeldFlowParallel(b *testing.B) {
-	r, x, keys := filled(b, 500_000)
+	r, x, keys := filledRouter(b, 500_000)
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
@@ -103,9 +104,9 @@
 	})
 }
 
-// BenchmarkOpen measures an open with its acceptance and its end.
+// BenchmarkOpen measures an open, its acceptance and the flow's reset.
 func BenchmarkOpen(b *testing.B) {
-	r, x, _ := filled(b, 100_000)
+	r, x, _ := filledRouter(b, 100_000)
 	out := make(baobabstep.Outbox, 0, 8)
 	n := 1 << 20
 	b.ReportAllocs()
@@ -131,12 +132,11 @@
 	}
 }
 
-// BenchmarkTick measures the periodic work per tick, of which there are ten a
-// second.
+// BenchmarkTick measures one tick; there are ten a second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{1000, 28_000, 100_000, 500_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, x, _ := filled(b, n)
+			r, x, _ := filledRouter(b, n)
 			out := make(baobabstep.Outbox, 0, 4096)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/flow/close.go
+++ b/core/flow/close.go
@@ -2,106 +2,106 @@
 
 import "baobabstep"
 
-// closeFlow ends a flow whose caller or target closed it. Like the copy at the
-// open, the end costs a hop and no message of its own: the close passes the
-// second copy, which forgets the flow, then the holder, which forgets it and
-// sends the close to its end.
+// closeFlow ends a flow that its caller or target closed. Like replication at
+// the open, the end costs a hop but no message of its own: the close passes
+// through the second copy, which ends its record, then the holder, which does
+// the same and sends the close to the other end.
 //
 //	close: entry -> second copy -> holder -> target
 //
-// With a message for each end, a VM that ends thousands of flows a second would
-// spend many times its control budget on them. The order matters: the holder is
-// the one that probes quiet flows. If the close is lost on any leg before the
-// holder, the holder still has the record, finds that the caller has gone, and
-// ends the flow at the target and the second copy within half a minute. If the
-// holder died with it, the second copy sends it again; see repeatClose.
-func (t *turn) closeFlow(rec *record) {
-	t.evaluate(rec)
+// Separate messages for each end would cost a VM that ends thousands of flows
+// a second many times its control budget. The holder comes last because it
+// probes idle flows. If the close is lost before it reaches the holder, the
+// holder finds within half a minute that the caller is gone, and ends the flow
+// at the target and the second copy. If the holder dies with the close, the
+// second copy sends it again; see repeatClose.
+func (t *task) closeFlow(rec *record) {
+	t.refreshRole(rec)
 	tg := t.r.reg.target(rec.target)
-	if !t.p.FromTarget && !t.mayReach(rec, tg) {
+	if !t.p.FromTarget && !t.checkService(rec, tg) {
 		return
 	}
 	other := t.otherOwner()
 	owner := rec.has(flagHolder) || rec.has(flagSecond)
 	switch {
 	case other == 0 || !owner || rec.state != StateEstablished:
-		t.closeStraight(rec, tg)
+		t.closeDirect(rec, tg)
 	case rec.has(flagSecond):
-		t.closeBySecond(rec, tg, other)
+		t.closeAtSecond(rec, tg, other)
 	case t.tried(other):
-		// The second copy has no record to forget.
-		t.closeStraight(rec, tg)
+		// The second copy has no record to end.
+		t.closeDirect(rec, tg)
 	default:
 		t.forward(other)
 	}
 }
 
-// closeBySecond forgets the flow at the second copy and sends the close on to
-// the holder.
-func (t *turn) closeBySecond(rec *record, tg *target, holder baobabstep.VMID) {
+// closeAtSecond ends the record at the second copy and sends the close to the
+// holder.
+func (t *task) closeAtSecond(rec *record, tg *target, holder baobabstep.VMID) {
 	t.count(EventClosed)
-	s := t.emit(baobabstep.DestVM)
+	s := t.sendPacket(baobabstep.DestVM)
 	s.VM = holder
 	s.Packet.Service, s.Packet.Target = tg.service, tg.id
 	s.Packet.Route.Purpose = baobabstep.PurposeForget
-	s.Packet.Route.From = t.r.o.Self
-	t.end(rec, StateClosed, baobabstep.CodeOK)
+	s.Packet.Route.From = t.r.opts.Self
+	t.setEnded(rec, StateClosed, baobabstep.CodeOK)
 	if !t.p.FromTarget {
-		rec.set(flagVia)
-		rec.copies = t.owners().Fingerprint()
+		rec.set(flagViaOwner)
+		rec.copyFingerprint = t.owners().Fingerprint()
 	}
 }
 
-// repeatClose sends the close of an ended flow again, straight to the target, if
-// the owners changed after it was sent on by way of the holder: that one may have
-// died with the close, and nobody else knows that the target holds a flow for
-// nobody. A target that had it already takes no notice.
-func (t *turn) repeatClose(rec *record) {
-	if !rec.has(flagVia) || rec.gen == t.snap.gen {
+// repeatClose sends the close of an ended flow straight to the target if the
+// owners changed after the close was sent to the holder. The holder may have
+// died with it, and no other VM knows that the target still has the flow. A
+// target that received the close before ignores this one.
+func (t *task) repeatClose(rec *record) {
+	if !rec.has(flagViaOwner) || rec.gen == t.snap.gen {
 		return
 	}
 	rec.gen = t.snap.gen
-	if rec.copies == t.owners().Fingerprint() {
+	if rec.copyFingerprint == t.owners().Fingerprint() {
 		return
 	}
-	rec.clear(flagVia)
+	rec.clear(flagViaOwner)
 	tg := t.r.reg.target(rec.target)
-	if tg.taken.Load() {
+	if tg.addressTaken.Load() {
 		return
 	}
-	s := t.control(baobabstep.DestTarget, baobabstep.KindClose, false)
+	s := t.sendControl(baobabstep.DestTarget, baobabstep.KindClose, false)
 	s.Address = tg.address
 	s.Packet.Service, s.Packet.Target = tg.service, tg.id
 }
 
-// closeStraight sends the close to its end and tells the owners beside it.
-func (t *turn) closeStraight(rec *record, tg *target) {
+// closeDirect sends the close to the other end and notifies the owners.
+func (t *task) closeDirect(rec *record, tg *target) {
 	if t.p.FromTarget {
-		t.emit(baobabstep.DestCaller)
+		t.sendPacket(baobabstep.DestCaller)
 	} else {
-		t.straight(tg)
+		t.sendDirect(tg)
 	}
-	t.finish(rec, StateClosed, baobabstep.CodeOK)
+	t.endFlow(rec, StateClosed, baobabstep.CodeOK)
 }
 
-// forget ends a flow that ended at another VM, and sends on the close that
-// brought the news, if one did.
-func (t *turn) forget() {
-	t.forgetRecord()
+// handleForget ends a flow that ended at another VM, and forwards the close if
+// the notice is one.
+func (t *task) handleForget() {
+	t.endByNotice()
 	if t.p.Kind == baobabstep.KindClose {
-		t.closeOnwards()
+		t.forwardClose()
 	}
 }
 
-func (t *turn) closeOnwards() {
+func (t *task) forwardClose() {
 	if t.p.FromTarget {
-		t.emit(baobabstep.DestCaller)
+		t.sendPacket(baobabstep.DestCaller)
 		return
 	}
 	i, found := t.r.reg.findTarget(t.p.Target, t.p.Service)
-	if !found || t.r.reg.target(i).taken.Load() {
+	if !found || t.r.reg.target(i).addressTaken.Load() {
 		t.count(EventDroppedUnknown)
 		return
 	}
-	t.straight(t.r.reg.target(i))
+	t.sendDirect(t.r.reg.target(i))
 }
--- a/core/flow/close_test.go
+++ b/core/flow/close_test.go
@@ -9,19 +9,19 @@
 	"baobabstep"
 )
 
-// Thousands of flows end each second on a VM that may spend a few kilobytes a
-// second on control. A close has to reach the target and both owners without a
-// packet that carries nothing else, wherever it enters, from either end.
-func TestCloseCostsNoMessageOfItsOwn(t *testing.T) {
+// A VM that ends thousands of flows a second has a control budget of a few
+// kilobytes a second. A close must reach the target and both owners without
+// any extra packet, whichever VM and end it comes from.
+func TestCloseSendsNoExtraMessages(t *testing.T) {
 	for _, fromTarget := range []bool{false, true} {
 		t.Run(map[bool]string{false: "caller", true: "target"}[fromTarget], func(t *testing.T) {
-			x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+			x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 			flows := openMany(x, 60)
 			x.assertAlive(flows...)
-			own := 0
+			extra := 0
 			x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
 				if s.Dest == baobabstep.DestVM && s.Packet.Kind != baobabstep.KindClose {
-					own++
+					extra++
 				}
 				return false
 			}
@@ -31,24 +31,24 @@
 					p.Target, p.Service = c.bound, x.config.Services[0].ID
 					delete(x.targets[c.bound].flows, c.key)
 				}
-				x.enter(x.vms[i%9].ID, p)
+				x.receive(x.vms[i%9].ID, p)
 				x.run()
 				qt.Check(t, c.closed, qt.Equals, fromTarget)
 				c.silent = true
 			}
-			qt.Assert(t, own, qt.Equals, 0)
+			qt.Assert(t, extra, qt.Equals, 0)
 			for _, c := range flows {
-				x.assertNobodyHolds(c)
+				x.assertNoTargetHolds(c)
 			}
-			x.advance(40 * time.Second) // the marks against late packets go
+			x.advance(40 * time.Second) // tombstones expire
 			x.assertEmpty()
 		})
 	}
 }
 
-// A close is under way when a VM that it passes dies unseen, so it is lost with
-// that VM. The target must not hold the flow for good: who is left of the two
-// owners finds that the caller is gone, or has it closed already.
+// A close is lost with a VM on its path that died undetected. The target must
+// not keep the flow: the remaining owner either finds that the caller is gone,
+// or has the close already and repeats it.
 func TestCloseLostWithAnOwner(t *testing.T) {
 	tests := []struct {
 		name string
@@ -59,7 +59,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+			x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 			flows := openMany(x, 60)
 			x.assertAlive(flows...)
 			ended, staying := flows[0], flows[1:]
@@ -68,9 +68,9 @@
 			x.closeAll([]*fakeCaller{ended})
 			x.setViews(x.alive())
 			x.advance(time.Minute)
-			x.say(staying[0], "others go on", 0)
+			x.sendData(staying[0], "others go on", 0)
 			x.advance(time.Minute)
-			x.assertNobodyHolds(ended)
+			x.assertNoTargetHolds(ended)
 			x.assertAlive(staying...)
 		})
 	}
--- a/core/flow/concurrent_test.go
+++ b/core/flow/concurrent_test.go
@@ -12,7 +12,7 @@
 	"baobabstep/core/flow"
 )
 
-// lockedChooser is a fakeChooser for several threads.
+// lockedChooser is a fakeChooser for concurrent use.
 type lockedChooser struct {
 	mu sync.Mutex
 	fakeChooser
@@ -36,13 +36,13 @@
 	c.fakeChooser.FlowClosed(now, id)
 }
 
-// Several threads handle packets while view, configuration and pause change and
+// Several goroutines handle packets while view and configuration change and
 // the periodic work runs. Each flow must be opened and closed once, and the
-// chooser's counts must come back to nothing: a lost update would leave a
-// target looking busy for good.
-func TestSeveralThreads(t *testing.T) {
-	x := newExchange(t, fleet{vms: 3, dcs: 1, targets: 6})
-	chooser := &lockedChooser{fakeChooser: fakeChooser{count: map[baobabstep.TargetID]int{}}}
+// chooser's counts must return to 0: a lost update would make a target look
+// busy forever.
+func TestConcurrentUse(t *testing.T) {
+	x := newTestNetwork(t, fleet{vms: 3, dcs: 1, targets: 6})
+	chooser := &lockedChooser{fakeChooser: fakeChooser{counts: map[baobabstep.TargetID]int{}}}
 	self := x.vms[0].ID
 	r := flow.New(x.now, flow.Options{Self: self, DataCentre: "dc0", Chooser: chooser, Rand: rand.New(rand.NewPCG(1, 1))})
 	alone := &baobabstep.View{Self: self, Members: x.vms[:1]}
@@ -82,14 +82,14 @@
 		var out baobabstep.Outbox
 		r.Tick(x.now.Add(time.Hour+time.Duration(i)*100*time.Millisecond), &out)
 	}
-	for id, n := range chooser.count {
+	for id, n := range chooser.counts {
 		qt.Assert(t, n, qt.Equals, 0, qt.Commentf("target %x", id))
 	}
 	qt.Assert(t, r.Stats().Flows["established"], qt.Equals, 0)
 }
 
-// openAndClose takes one flow through its life at one router.
-func openAndClose(x *exchange, r *flow.Router, key baobabstep.FlowKey) {
+// openAndClose opens, uses and closes one flow at one router.
+func openAndClose(x *testNetwork, r *flow.Router, key baobabstep.FlowKey) {
 	var out baobabstep.Outbox
 	r.Handle(x.now, &baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: key}, &out)
 	if len(out) == 0 {
@@ -106,8 +106,8 @@
 	out = out[:0]
 	r.Handle(x.now, &closing, &out)
 	for i := range out {
-		// A holder sends the close by way of the second copy, which is not
-		// there; what that would send back is made here.
+		// The holder sends the close through the second copy, which
+		// does not exist here, so its reply is simulated.
 		if back := out[i].Packet; out[i].Dest == baobabstep.DestVM && back.Kind == baobabstep.KindClose {
 			back.Route = baobabstep.Route{Purpose: baobabstep.PurposeForget, From: out[i].VM}
 			back.Service, back.Target = sent.Service, sent.Target
--- a/core/flow/config_test.go
+++ b/core/flow/config_test.go
@@ -11,8 +11,9 @@
 	"baobabstep"
 )
 
-// next returns the configuration with one change, at the next version.
-func (x *exchange) next(change func(*baobabstep.Config)) *baobabstep.Config {
+// nextConfig returns a changed copy of the configuration with the next
+// version.
+func (x *testNetwork) nextConfig(change func(*baobabstep.Config)) *baobabstep.Config {
 	c := &baobabstep.Config{Version: x.config.Version + 1, FlowSecret: x.config.FlowSecret}
 	for _, s := range x.config.Services {
 		s.Targets = slices.Clone(s.Targets)
@@ -26,15 +27,15 @@
 	return slices.Delete(slices.Clone(targets), i, i+1)
 }
 
-// A target is taken out while the holders of its flows die. The flows stay on
-// it to their end, since nothing but the records knows its address any more,
-// and it gets no new ones.
+// A target is removed from the configuration while the holders of its flows
+// die. Only the records then have its address. Its flows must stay on it, and
+// it must get no new ones.
 func TestDrainWhileTheHolderDies(t *testing.T) {
-	x := newExchange(t, fleet{vms: 12, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 12, dcs: 3, targets: 6})
 	flows := openMany(x, 120)
 	drained := flows[0].opened
 	before := len(x.targets[drained].flows)
-	x.setConfig(x.next(func(c *baobabstep.Config) {
+	x.setConfig(x.nextConfig(func(c *baobabstep.Config) {
 		i := slices.IndexFunc(c.Services[0].Targets, func(tg baobabstep.Target) bool { return tg.ID == drained })
 		c.Services[0].Targets = without(c.Services[0].Targets, i)
 	}))
@@ -49,14 +50,14 @@
 	qt.Assert(t, len(x.targets[drained].flows), qt.Equals, before)
 }
 
-// VMs join while a target is being drained, until none is left that saw the
-// target configured. The flows must still reach it, so the records have to tell
-// where it is.
+// VMs join while a target drains, until no VM is left that saw the target in
+// the configuration. Its flows must still reach it, so records must carry its
+// address.
 func TestVMJoinsDuringADrain(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 6, dcs: 2, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 6, dcs: 2, targets: 6})
 	flows := openMany(x, 120)
-	x.setConfig(x.next(func(c *baobabstep.Config) {
+	x.setConfig(x.nextConfig(func(c *baobabstep.Config) {
 		c.Services[0].Targets = without(c.Services[0].Targets, 0)
 	}))
 	for i, old := range slices.Clone(x.vms) {
@@ -71,11 +72,11 @@
 	x.assertAlive(flows...)
 }
 
-// An address moves from one service to another while flows to its old target
-// are open. Their next packet must not reach the other service, and both what
-// is left of the flow and its caller are told.
+// The address of a target moves to another service while flows to the target
+// are open. Their next packet must not reach the other service, and their
+// callers must get a reset.
 func TestAddressTakenByAnotherService(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 3})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 3})
 	flows := openMany(x, 30)
 	other := baobabstep.Service{
 		ID: baobabstep.MakeServiceID("b", "s"), Name: "b/s", Account: "b",
@@ -85,7 +86,7 @@
 	other.Targets = []baobabstep.Target{{
 		ID: baobabstep.MakeTargetID("moved"), Name: "moved", Service: other.ID, Address: old.Address, DataCentre: "dc0",
 	}}
-	x.setConfig(x.next(func(c *baobabstep.Config) {
+	x.setConfig(x.nextConfig(func(c *baobabstep.Config) {
 		c.Services[0].Targets = without(c.Services[0].Targets, 0)
 		c.Services = append(c.Services, other)
 		c.Quarantine = []baobabstep.Quarantine{{Address: old.Address, Service: c.Services[0].ID, Until: c.Version + 1}}
@@ -98,7 +99,7 @@
 	}
 	for _, c := range flows {
 		if c.opened == old.ID {
-			qt.Assert(t, x.say(c, "hello", 0), qt.IsFalse)
+			qt.Assert(t, x.sendData(c, "hello", 0), qt.IsFalse)
 			qt.Assert(t, c.reset, qt.Equals, baobabstep.CodeTargetGone)
 			continue
 		}
@@ -108,36 +109,36 @@
 	key := baobabstep.FlowKey{Caller: flows[0].key.Caller, Service: other.Address, Number: 77}
 	c := &fakeCaller{key: key}
 	x.callers[key] = c
-	x.enter(0, baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: key})
+	x.receive(0, baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: key})
 	x.run()
 	qt.Assert(t, c.reset, qt.Equals, baobabstep.CodeNoTarget)
 	qt.Assert(t, x.events("target_quarantined") > 0, qt.IsTrue)
 }
 
-// A service address moves to another service. Flows of the first one must not
-// go on under an address that now means something else.
+// A service address moves to another service. Flows of the first service must
+// end with a reset rather than reach the second.
 func TestServiceAddressMoves(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 3})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 3})
 	c := x.open(1)
 	x.assertAlive(c)
-	x.setConfig(x.next(func(cfg *baobabstep.Config) {
+	x.setConfig(x.nextConfig(func(cfg *baobabstep.Config) {
 		moved := cfg.Services[0]
 		moved.ID, moved.Name = baobabstep.MakeServiceID("b", "s"), "b/s"
 		moved.Targets = nil
 		cfg.Services = []baobabstep.Service{moved}
 	}))
-	qt.Assert(t, x.say(c, "hello", 0), qt.IsFalse)
+	qt.Assert(t, x.sendData(c, "hello", 0), qt.IsFalse)
 	qt.Assert(t, c.reset, qt.Equals, baobabstep.CodeWrongService)
-	x.assertNobodyHolds(c)
+	x.assertNoTargetHolds(c)
 }
 
-// The target itself says that a packet was not for it. The flow ends at the
-// caller instead of hanging.
+// A target rejects a packet as one of another service. The flow must end at
+// the caller too.
 func TestTargetRefusesWrongService(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 3})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 3})
 	c := x.open(1)
 	x.assertAlive(c)
-	x.enter(0, baobabstep.Packet{
+	x.receive(0, baobabstep.Packet{
 		Kind: baobabstep.KindReset, FromTarget: true, Flow: c.key, Code: baobabstep.CodeWrongService,
 		Service: x.config.Services[0].ID, Target: c.opened,
 	})
@@ -145,14 +146,14 @@
 	qt.Assert(t, c.reset, qt.Equals, baobabstep.CodeWrongService)
 }
 
-// An operator drains a target, and the part that picks targets has not heard of
-// it yet. The target must get no new flow; its old ones stay.
+// An operator drains a target, but the Chooser still picks it. The target must
+// get no new flow and keep its old ones.
 func TestDrainedTargetIsNotOpenedTo(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 3})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 3})
 	flows := openMany(x, 30)
 	drained := x.config.Services[0].Targets[0].ID
 	before := len(x.targets[drained].flows)
-	x.setConfig(x.next(func(c *baobabstep.Config) { c.Services[0].Targets[0].Drained = true }))
+	x.setConfig(x.nextConfig(func(c *baobabstep.Config) { c.Services[0].Targets[0].Drained = true }))
 	for n := 100; n < 160; n++ {
 		x.open(n)
 	}
--- a/core/flow/conflict_test.go
+++ b/core/flow/conflict_test.go
@@ -22,9 +22,9 @@
 	return r
 }
 
-// VMs learn the records of one flow in different orders. They agree in the end
-// only if the order is total: for two records that differ exactly one wins, and
-// there is no ring.
+// VMs receive the records of one flow in different orders. They agree only if
+// Beats is a strict total order: of two different records exactly one wins,
+// and there is no cycle.
 func TestOrderOfRecordsIsTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
@@ -35,14 +35,15 @@
 			t.Fatalf("neither wins: %+v %+v", a, b)
 		}
 		if flow.Beats(a, b) && flow.Beats(b, c) && !flow.Beats(a, c) {
-			t.Fatalf("ring: %+v %+v %+v", a, b, c)
+			t.Fatalf("cycle: %+v %+v %+v", a, b, c)
 		}
 	})
 }
 
-// cut loses all packets between VMs, and between VMs and targets, of different
-// sides of a partition. Data centre dc0 is one side.
-func (x *exchange) cut() {
+// partition drops all packets between VMs, and between VMs and targets, on
+// different sides. Data centre dc0 is one side. Each side gets a view of its
+// own members and prefers a target of its own.
+func (x *testNetwork) partition() {
 	side := map[baobabstep.VMID]bool{}
 	for _, vm := range x.vms {
 		side[vm.ID] = vm.DataCentre == "dc0"
@@ -74,11 +75,11 @@
 	}
 }
 
-// The caller repeats its open, and the two copies enter on two sides of a
-// partition: two targets accept. After healing exactly one of them may hold the
-// flow, the same for all VMs, and the caller goes on with it.
+// A caller's open and its repetition enter on two sides of a partition, and
+// two targets accept. After healing, all VMs must agree on one target, only
+// that one may have the flow, and the caller must continue with it.
 func TestOpenOnTwoSidesOfAPartition(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	var near, far baobabstep.VMID
 	for _, vm := range x.vms {
 		if vm.DataCentre == "dc0" {
@@ -87,15 +88,15 @@
 			far = vm.ID
 		}
 	}
-	x.cut()
-	x.enterAt = map[string]baobabstep.VMID{"dc0": near, "dc1": far}
+	x.partition()
+	x.targetEntry = map[string]baobabstep.VMID{"dc0": near, "dc1": far}
 	var flows []*fakeCaller
 	for n := range 40 {
 		x.sendOpen(n, near)
 		flows = append(flows, x.sendOpen(n, far))
 	}
 	x.advance(2 * time.Second)
-	x.lose, x.enterAt = nil, nil
+	x.lose, x.targetEntry = nil, nil
 	x.setViews(x.vms)
 	x.advance(2 * time.Minute)
 	qt.Assert(t, x.events("conflict") > 0, qt.IsTrue)
@@ -111,11 +112,11 @@
 	x.assertAlive(flows...)
 }
 
-// Both sides of a partition carried data of the flow to their own target. No
-// target has seen all of it, so after healing the flow must end at the caller
-// and at both targets, rather than go on with half of its data.
+// Each side of a partition carried data of a flow to a target of its own, so
+// no target received all of it. After healing, the flow must end at the caller
+// and both targets.
 func TestFlowUsedOnTwoSidesOfAPartitionIsReset(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	var near, far baobabstep.VMID
 	for _, vm := range x.vms {
 		if vm.DataCentre == "dc0" {
@@ -124,38 +125,38 @@
 			far = vm.ID
 		}
 	}
-	x.cut()
-	x.split = true
-	x.enterAt = map[string]baobabstep.VMID{"dc0": near, "dc1": far}
+	x.partition()
+	x.allowSplit = true
+	x.targetEntry = map[string]baobabstep.VMID{"dc0": near, "dc1": far}
 	c := x.caller(1)
 	for _, side := range []baobabstep.VMID{near, far} {
 		x.sendOpen(1, side)
-		qt.Assert(t, x.say(c, "hello", side), qt.IsTrue)
+		qt.Assert(t, x.sendData(c, "hello", side), qt.IsTrue)
 		c.got = nil
 	}
-	x.lose, x.enterAt = nil, nil
+	x.lose, x.targetEntry = nil, nil
 	x.setViews(x.vms)
 	x.advance(2 * time.Minute)
 	qt.Assert(t, c.reset, qt.Equals, baobabstep.CodeUnknownFlow)
-	x.assertNobodyHolds(c)
+	x.assertNoTargetHolds(c)
 }
 
-// A flow ended, its caller uses the key again after the marks against late
-// packets are gone, and a packet of the first flow's target arrives late. The
-// caller would take it for an answer of the new flow.
+// A caller reuses the key of an ended flow after its tombstone expired, and a
+// packet of the first flow's target arrives late. It must not reach the
+// caller, who would take it for an answer on the new flow.
 func TestLatePacketOfAFinishedFlow(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	c := x.open(1)
 	x.assertAlive(c)
 	first := c.opened
-	x.enter(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
+	x.receive(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
 	x.run()
 	late := baobabstep.Packet{
 		Kind: baobabstep.KindData, FromTarget: true, Flow: c.key,
 		Service: x.config.Services[0].ID, Target: first, Payload: []byte("late"),
 	}
 	heard := len(c.got)
-	x.enter(0, late)
+	x.receive(0, late)
 	x.run()
 	qt.Assert(t, len(c.got), qt.Equals, heard)
 
@@ -170,26 +171,26 @@
 	qt.Assert(t, c.opened, qt.Not(qt.Equals), first)
 	heard = len(c.got)
 	for _, vm := range x.vms {
-		x.enter(vm.ID, late)
+		x.receive(vm.ID, late)
 	}
 	x.run()
 	qt.Assert(t, len(c.got), qt.Equals, heard)
 	x.assertAlive(c)
 }
 
-// A packet of a finished flow is late, and the open that began it is late too:
-// neither may bring the flow back, since its caller has gone.
+// A repeated open arrives after the close of its flow. It must not open the
+// flow again, since the caller is gone.
 func TestLateOpenOfAFinishedFlow(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	c := x.open(1)
 	x.assertAlive(c)
-	x.enter(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
+	x.receive(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
 	x.run()
 	x.sendOpen(1, 0)
-	x.assertNobodyHolds(c)
+	x.assertNoTargetHolds(c)
 }
 
-func (x *exchange) otherTarget(not baobabstep.TargetID) baobabstep.TargetID {
+func (x *testNetwork) otherTarget(not baobabstep.TargetID) baobabstep.TargetID {
 	for i := range x.config.Services[0].Targets {
 		if id := x.config.Services[0].Targets[i].ID; id != not {
 			return id
--- a/core/flow/death_test.go
+++ b/core/flow/death_test.go
@@ -10,12 +10,11 @@
 	"baobabstep"
 )
 
-// The caller's data goes unanswered for a moment, then the flow goes on. Both
-// VMs with the record die at once; the next owners know nothing. If they
-// answered "unknown flow", a flow that its target still holds would break, so
-// they ask the targets, and the one that holds it rebuilds the record.
+// Both VMs with a flow's record die at once, and the new owners have none. The
+// target still has the flow, so the owners must not answer "unknown flow" but
+// probe the targets and rebuild the record.
 func TestBothCopiesDie(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	var flows []*fakeCaller
 	for n := range 100 {
 		flows = append(flows, x.open(n))
@@ -33,21 +32,21 @@
 	qt.Assert(t, x.events("recovered_from_target") >= 1, qt.IsTrue)
 }
 
-// A caller that uses a flow which no target has must hear so, within seconds:
-// it would otherwise wait for data for good.
+// A caller that uses a flow which no target has must get a reset within
+// seconds; otherwise it would wait for data forever.
 func TestUnknownFlowIsReset(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	c := x.caller(1)
-	qt.Assert(t, x.say(c, "hello", 0), qt.IsFalse)
+	qt.Assert(t, x.sendData(c, "hello", 0), qt.IsFalse)
 	qt.Assert(t, c.reset, qt.Equals, baobabstep.CodeUnknownFlow)
 }
 
-// The caller repeats its open until it is told. The holder picked a target and
-// died before the packet reached the second copy, so no target has seen the
-// open. The next holder picks one, and only that one may hold the flow.
+// The holder picks a target and dies before the open reaches the second copy,
+// so no target has seen it. The caller repeats the open, the next holder picks
+// a target, and only that one may have the flow.
 func TestHolderDiesBetweenRecordAndReplica(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 18, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 18, dcs: 3, targets: 6})
 	for n := range 30 {
 		key := x.caller(n).key
 		o := x.owners(key, x.alive())
@@ -66,12 +65,12 @@
 	}
 }
 
-// The second copy's VM restarts so fast that nobody saw it die, and lost its
-// memory. Then the holder dies. Unless the holder noticed the restart and made
-// the copy again, its quiet flows are with nobody.
+// The second copy's VM restarts undetected and loses its records; then the
+// holder dies. The holder must have noticed the new incarnation and replicated
+// its idle flows again, or no VM has them.
 func TestSecondCopyRestartsUnseen(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 3, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 3, dcs: 1, targets: 6})
 	flows := openMany(x, 60)
 	x.advance(20 * time.Second)
 	restarted, dies := x.vms[0].ID, x.vms[1].ID
@@ -83,13 +82,13 @@
 	qt.Assert(t, x.events("target_search"), qt.Equals, uint64(0))
 }
 
-// The flow ended, and the close was lost between second copy and holder. The
-// holder's record must not stay for good: with thousands of flows a second even
-// rare losses would fill the table. The caller is gone and answers no probe,
-// while callers of other flows do.
-func TestRecordOfAnEndedFlowGoesAway(t *testing.T) {
+// The notice of a flow's end is lost between second copy and holder. The
+// holder's record must be removed all the same: with thousands of flows a
+// second even rare losses would fill the table. The caller is gone and answers
+// no probe, while callers of other flows do.
+func TestRecordOfEndedFlowIsRemoved(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 3, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 3, dcs: 1, targets: 6})
 	flows := openMany(x, 60)
 	x.assertAlive(flows...)
 	flows, staying := flows[:30], flows[30:]
@@ -100,7 +99,7 @@
 	x.lose = nil
 	x.advance(time.Minute)
 	for _, c := range flows {
-		x.assertNobodyHolds(c)
+		x.assertNoTargetHolds(c)
 	}
 	x.assertAlive(staying...)
 	x.closeAll(staying)
@@ -109,7 +108,7 @@
 }
 
 // assertEmpty checks that no router has a record of any kind.
-func (x *exchange) assertEmpty() {
+func (x *testNetwork) assertEmpty() {
 	x.t.Helper()
 	for _, r := range x.routers {
 		for state, n := range r.Stats().Flows {
@@ -120,25 +119,25 @@
 	}
 }
 
-// closeAll closes flows from the callers' side.
-func (x *exchange) closeAll(flows []*fakeCaller) {
+// closeAll closes flows from the caller side.
+func (x *testNetwork) closeAll(flows []*fakeCaller) {
 	for _, c := range flows {
-		x.enter(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
+		x.receive(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
 		x.run()
 		c.silent = true // a caller that closed its flow answers no probe of it
 	}
 }
 
-// The target accepted the flow and the caller knows, but the VMs that know it
-// died. One VM is left with a record that still waits for the acceptance, and it
-// is no owner any more; the target has left the configuration, so the present
-// owners cannot find it. The record must reach them before it expires.
+// A target accepted a flow and the caller knows, but the VMs that knew have
+// died. The only record left is still opening, at a VM that is no owner, and
+// the target is no longer configured, so the owners cannot probe it. The
+// record must reach them before it expires.
 func TestLastRecordIsStillOpening(t *testing.T) {
-	x := newExchange(t, fleet{vms: 3, dcs: 1, targets: 3})
+	x := newTestNetwork(t, fleet{vms: 3, dcs: 1, targets: 3})
 	old := slices.Clone(x.vms)
 	last := old[0].ID
 	s := x.config.Services[0]
-	x.setConfig(x.next(func(c *baobabstep.Config) { c.Services[0].Targets = without(s.Targets, 0) }))
+	x.setConfig(x.nextConfig(func(c *baobabstep.Config) { c.Services[0].Targets = without(s.Targets, 0) }))
 	for i := 3; i < 12; i++ {
 		x.addVM(i, 1)
 	}
--- a/core/flow/differing_views_test.go
+++ b/core/flow/differing_views_test.go
@@ -11,16 +11,16 @@
 	"baobabstep"
 )
 
-// The caller opens flows and uses old ones while VMs come or go. Half of the
-// VMs act on the news, half do not yet, so an open and its repetition may reach
-// two holders, and data a holder that has no record. Each flow must keep one
-// target, and no other may hold it, since its data would then be split.
+// Callers open and use flows while VMs join or leave. Half of the VMs have the
+// new view, so an open and its repetition may reach two holders, and data may
+// reach a holder without the record. Each flow must stay on one target, and no
+// other may have it, since its data would then be split.
 func TestViewsThatDiffer(t *testing.T) {
 	t.Parallel()
 	for differ := 1; differ <= 3; differ++ {
 		for _, order := range []string{"gone", "joined", "gone dead"} {
 			t.Run(fmt.Sprintf("%d %s", differ, order), func(t *testing.T) {
-				x := newExchange(t, fleet{vms: 12, dcs: 2, targets: 6})
+				x := newTestNetwork(t, fleet{vms: 12, dcs: 2, targets: 6})
 				old, next := x.vms, x.vms[differ:]
 				if order == "joined" {
 					old, next = next, old
@@ -62,14 +62,14 @@
 	}
 }
 
-// Callers hold their flows for days while every VM is replaced, one after
-// the other. A flow breaks if both its owners are replaced before either record
-// was copied on, so copies must be made faster than VMs go.
+// Callers keep their flows while every VM is replaced, one after the other. A
+// flow breaks if both its owners are replaced before either copied its record,
+// so records must be copied faster than VMs are replaced.
 func TestAllVMsReplacedOneAfterAnother(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"killed", "stopped"} {
 		t.Run(how, func(t *testing.T) {
-			x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+			x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 			var flows []*fakeCaller
 			for n := range 150 {
 				flows = append(flows, x.open(n))
@@ -92,11 +92,11 @@
 }
 
 // Half of the VMs die at once, and with them both copies of about a fifth of
-// the flows. The bound: none breaks while its target holds it, and each goes on
-// as soon as its targets could be asked, which the search budget bounds.
+// the flows. None may break while its target has it; each must continue as
+// soon as the targets were probed, at the rate of the search budget.
 func TestHalfTheVMsDieAtOnce(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 12, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 12, dcs: 1, targets: 6})
 	var flows []*fakeCaller
 	for n := range 500 {
 		flows = append(flows, x.open(n))
@@ -119,11 +119,10 @@
 	t.Logf("both copies of %d of %d flows died; all went on", lost, len(flows))
 }
 
-// A VM announces its stop. A record that only it has, since the copy's owner
-// died a moment ago, would go with it: the stop must not end before another VM
-// has each record.
-func TestStopHandsOverWhatNobodyElseHas(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 1, targets: 6})
+// A VM stops while it has the only copy of some records, since the other owner
+// just died. The stop must not complete before another VM has each record.
+func TestStopHandsOverSoleCopies(t *testing.T) {
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 1, targets: 6})
 	var flows []*fakeCaller
 	for n := range 300 {
 		flows = append(flows, x.open(n))
@@ -139,18 +138,19 @@
 	qt.Assert(t, x.events("target_search"), qt.Equals, uint64(0))
 }
 
-// A VM comes back from a pause of a minute, in which others took over its
-// flows, closed some and opened others. Its old records must neither carry
-// packets nor bring an ended flow back.
+// A VM resumes after a pause of a minute, during which others took over its
+// flows, closed some and opened others. Its old records must neither route
+// packets nor revive an ended flow.
 func TestPausedVMResumes(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 9, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 1, targets: 6})
 	paused := x.vms[0].ID
 	x.choosers[paused].prefer = x.config.Services[0].Targets[0].ID
 	var flows []*fakeCaller
 	for n := range 200 {
 		if n%10 == 0 {
-			// The paused VM keeps an open that nobody else heard of.
+			// The paused VM keeps the record of an open that no
+			// other VM received.
 			x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
 				return from == paused && s.Dest == baobabstep.DestVM
 			}
@@ -169,34 +169,33 @@
 		flows = append(flows, x.open(n))
 	}
 	for _, c := range flows[:20] {
-		x.enter(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
+		x.receive(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
 		x.run()
 	}
 	x.routers[paused], x.dead[paused] = router, false
 	router.SetPaused(x.now, true)
 	for _, c := range flows[20:] {
-		x.say(c, "while paused", paused)
+		x.sendData(c, "while paused", paused)
 		x.assertOneTarget(c)
 	}
 	router.SetPaused(x.now, false)
 	x.setViews(x.vms)
 	for _, c := range flows[20:] {
-		x.say(c, "after the pause", paused)
+		x.sendData(c, "after the pause", paused)
 	}
 	x.advance(2 * time.Minute)
 	x.assertAlive(flows[20:]...)
 	for _, c := range flows[:20] {
-		x.assertNobodyHolds(c)
+		x.assertNoTargetHolds(c)
 	}
 }
 
-// The caller has not heard that its flow was accepted, and repeats the open
-// after VMs joined. The new owners are both new and know nothing; the record is
-// with the owners before. They must be visited, or a second target would hold
-// the flow.
+// A caller did not receive the acceptance of its flow and repeats the open
+// after VMs joined. Both owners are new and have no record. The open must
+// visit the previous owners, or a second target would get the flow.
 func TestRepeatedOpenVisitsPreviousOwners(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 12, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 12, dcs: 1, targets: 6})
 	all := x.vms
 	x.setViews(all[:4])
 	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool { return s.Dest == baobabstep.DestCaller }
@@ -223,11 +222,12 @@
 	qt.Assert(t, moved > 0, qt.IsTrue)
 }
 
-// A VM resumes after a pause and still believes that it holds its flows. An
-// open repeated through it must find the record that the others made.
+// A VM resumes after a pause and still considers itself the holder of its
+// flows. An open repeated through it must find the record that the other VMs
+// made.
 func TestPausedVMOpensNothing(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 6, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 6, dcs: 1, targets: 6})
 	paused := x.vms[0].ID
 	router := x.routers[paused]
 	x.kill(paused)
@@ -241,37 +241,37 @@
 	router.SetPaused(x.now, true)
 	for n := range 100 {
 		c := x.sendOpen(n, paused)
-		x.say(c, "hello", paused)
+		x.sendData(c, "hello", paused)
 		x.assertOneTarget(c)
 	}
 	qt.Assert(t, router.Stats().Events["flow_opened"], qt.Equals, uint64(0))
 }
 
-// Many VMs that were cut off come back at once, so that a flow's owners before
-// and after have no VM in common. The caller's next packet must find the record
-// through the owners before; asking all targets would cost a repetition.
+// Many VMs rejoin at once, so the old and new owners of some flows have no VM
+// in common. The caller's next packet must find the record through the
+// previous owners; probing the targets would cost the caller a repetition.
 func TestManyVMsReturnAtOnce(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 12, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 12, dcs: 1, targets: 6})
 	all := x.vms
 	x.setViews(all[:4])
 	flows := openMany(x, 100)
 	x.setViews(all)
 	for i, c := range flows {
-		x.enter(all[i%12].ID, baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key, Payload: []byte("hello")})
+		x.receive(all[i%12].ID, baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key, Payload: []byte("hello")})
 		x.run()
 		qt.Assert(t, c.got, qt.HasLen, 1)
 	}
 	qt.Assert(t, x.events("target_search"), qt.Equals, uint64(0))
 }
 
-// A holder accepted a flow, and its word to the caller was lost as it was
-// paused. The caller repeated its open, others opened the flow on another
-// target, and data went there. After the pause the first VM holds the flow
-// again, with its old record: data must not go by it, to a second target.
-func TestAcceptanceThatTheCallerNeverHeard(t *testing.T) {
+// A holder is paused and its acceptance of a flow is lost. The caller repeats
+// the open, other VMs open the flow on another target, and data is sent there.
+// After the pause the first VM is the holder again with its old record: it
+// must not send data to its own record's target.
+func TestLostAcceptance(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 6, dcs: 1, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 6, dcs: 1, targets: 6})
 	all := slices.Clone(x.vms)
 	targets := x.config.Services[0].Targets
 	for n := range 20 {
@@ -285,28 +285,29 @@
 		x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
 			return from == paused && s.Packet.Kind == baobabstep.KindOpened
 		}
-		x.enterAt = map[string]baobabstep.VMID{"dc0": paused}
+		x.targetEntry = map[string]baobabstep.VMID{"dc0": paused}
 		c := x.sendOpen(n, 0)
 		qt.Assert(t, c.opened, qt.Equals, baobabstep.TargetID(0))
-		x.lose, x.enterAt = nil, nil
+		x.lose, x.targetEntry = nil, nil
 		router := x.routers[paused]
 		x.kill(paused)
-		// The second copy's VM forgot what it had, as after a restart.
+		// Remove the second copy's record, as a restart of its VM
+		// would.
 		second := x.owners(c.key, all).Second
 		x.routers[second].Handle(x.now, &baobabstep.Packet{
 			Kind: baobabstep.KindProbe, Flow: c.key, Route: baobabstep.Route{Purpose: baobabstep.PurposeForget},
 		}, &baobabstep.Outbox{})
 		x.setViews(x.alive())
-		qt.Assert(t, x.say(x.open(n), "hello", 0), qt.IsTrue)
+		qt.Assert(t, x.sendData(x.open(n), "hello", 0), qt.IsTrue)
 		x.routers[paused], x.dead[paused] = router, false
 		router.SetPaused(x.now, true)
 		router.SetPaused(x.now, false)
 		x.setViews(all)
 		for i := range 3 {
-			qt.Assert(t, x.say(c, fmt.Sprint("again ", i), paused), qt.IsTrue)
+			qt.Assert(t, x.sendData(c, fmt.Sprint("again ", i), paused), qt.IsTrue)
 		}
 		x.advance(15 * time.Second)
-		qt.Assert(t, x.say(c, "later", paused), qt.IsTrue)
+		qt.Assert(t, x.sendData(c, "later", paused), qt.IsTrue)
 		qt.Assert(t, c.bound, qt.Equals, targets[1].ID)
 	}
 }
--- a/core/flow/event.go
+++ b/core/flow/event.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Event is something that the router counts.
+// Event is a kind of event that the router counts.
 type Event uint8
 
-// Events. The comment of each is its name in metrics.
+// Events. The line comment of each is its name in metrics.
 const (
 	EventForwarded          Event = iota // forwarded
 	EventAsked                           // asked_previous_owner
@@ -55,22 +55,23 @@
 	numEvents
 )
 
-// stateName returns the name of a state in metrics.
+// stateName returns the metric name of a state.
 func stateName(s State) string { return strings.ToLower(strings.TrimPrefix(s.String(), "State")) }
 
-// Stats are the counters and gauges of a router.
+// Stats holds the counters and gauges of a router.
 type Stats struct {
-	// Events counts each event since the start, by its name.
+	// Events counts events since the start, by metric name.
 	Events map[string]uint64
-	// Flows counts the records by state, by its name.
+	// Flows counts records by the metric name of their state.
 	Flows map[string]int
-	// HalfOpen counts flows whose caller was not heard since they opened.
+	// HalfOpen counts flows whose caller has sent nothing since they
+	// opened.
 	HalfOpen int
-	// Bytes is the memory of the flow table.
+	// Bytes is the memory of the flow table in bytes.
 	Bytes int
 }
 
-// Stats returns the present counters. It locks one shard at a time.
+// Stats returns the current counters. It locks one shard at a time.
 func (r *Router) Stats() Stats {
 	stats := Stats{Events: make(map[string]uint64), Flows: make(map[string]int)}
 	var events [numEvents]uint64
@@ -82,7 +83,7 @@
 		for state := StateSearching; state < numStates; state++ {
 			stats.Flows[stateName(state)] += s.counts[state]
 		}
-		stats.HalfOpen += s.half
+		stats.HalfOpen += s.halfOpenCount
 		stats.Bytes += s.bytes()
 		s.mu.Unlock()
 	}
--- a/core/flow/explain.go
+++ b/core/flow/explain.go
@@ -7,7 +7,7 @@
 	"baobabstep/core/place"
 )
 
-// Explanation tells what a VM knows of one flow.
+// Explanation describes a flow as one VM knows it.
 type Explanation struct {
 	Flow    baobabstep.FlowKey
 	Slot    int
@@ -18,7 +18,7 @@
 	Target  baobabstep.TargetID
 	Version uint64
 	Age     time.Duration
-	// Role says what the VM itself is to the flow.
+	// Role is the VM's role for the flow: holder, second or entry.
 	Role string
 	// Copied is set if the other owner is known to have the record.
 	Copied     bool
@@ -26,27 +26,27 @@
 	TargetIdle time.Duration
 }
 
-// Explain tells what the VM knows of a flow as of the last Tick; false if it
-// has no record.
+// Explain describes a flow as of the last Tick. It returns false if the VM has
+// no record.
 func (r *Router) Explain(key baobabstep.FlowKey) (Explanation, bool) {
 	snap := r.current.Load()
 	if snap.config == nil {
 		return Explanation{Flow: key}, false
 	}
-	t := turn{r: r, snap: snap, tick: r.ticked.Load(), p: &baobabstep.Packet{Flow: key}}
+	t := task{r: r, snap: snap, tick: r.lastTick.Load(), p: &baobabstep.Packet{Flow: key}}
 	t.hash = place.Hash(snap.config.FlowSecret, key)
 	t.s = r.shard(&t.hash)
 	t.s.mu.Lock()
 	defer t.s.mu.Unlock()
 	o := t.owners()
 	e := Explanation{Flow: key, Slot: place.Slot(t.hash), Holder: o.Holder, Second: o.Second, Role: "entry"}
-	switch r.o.Self {
+	switch r.opts.Self {
 	case o.Holder:
 		e.Role = "holder"
 	case o.Second:
 		e.Role = "second"
 	}
-	rec := t.find()
+	rec := t.findRecord()
 	if rec == nil {
 		return e, false
 	}
@@ -55,8 +55,8 @@
 	e.Target = r.reg.target(rec.target).id
 	e.Version = uint64(rec.version)
 	e.Age = t.age(rec)
-	e.Copied = rec.copies == o.Fingerprint()
-	e.CallerIdle = time.Duration(since(t.tick, rec.fromCaller)) * tickLength
-	e.TargetIdle = time.Duration(since(t.tick, rec.fromTarget)) * tickLength
+	e.Copied = rec.copyFingerprint == o.Fingerprint()
+	e.CallerIdle = time.Duration(since(t.tick, rec.lastFromCaller)) * tickLength
+	e.TargetIdle = time.Duration(since(t.tick, rec.lastFromTarget)) * tickLength
 	return e, true
 }
--- a/core/flow/find.go
+++ b/core/flow/find.go
@@ -7,16 +7,17 @@
 	"baobabstep/core/place"
 )
 
-// unknown handles a packet without a record: it goes to the VMs that may have
-// one, and if all were asked, the holder decides.
-func (t *turn) unknown() {
+// handleUnknown handles a packet without a record. It is forwarded to the VMs
+// that may have the record; once all were asked, the holder decides.
+func (t *task) handleUnknown() {
 	if t.p.Route.Exhausted {
-		t.exhausted()
+		t.handleExhausted()
 		return
 	}
 	if t.p.FromTarget && t.p.Kind == baobabstep.KindProbeAck && t.ownProbe() {
-		// The answer to a search, which began when all had been asked.
-		t.decide()
+		// This answers searchTargets, which runs after all VMs were
+		// asked.
+		t.decideAsHolder()
 		return
 	}
 	if next := t.nextToAsk(); next != 0 {
@@ -28,17 +29,18 @@
 		t.count(EventDroppedUnknown)
 		return
 	}
-	t.exhausted()
+	t.handleExhausted()
 }
 
-// exhausted decides for a packet that no VM knew, if this VM holds the flow.
-// Two VMs that each take the other for the holder pass a packet to and fro
-// once, then the one that was asked decides.
-func (t *turn) exhausted() {
+// handleExhausted handles a packet for which no VM has a record: the holder
+// decides, others forward the packet to the holder. If two VMs consider each
+// other the holder, the packet is forwarded back once, and the VM that was
+// already asked decides.
+func (t *task) handleExhausted() {
 	holder := t.owners().Holder
-	standsIn := t.suspect(holder) && t.owners().Second == t.r.o.Self
-	if holder == t.r.o.Self || standsIn || t.tried(holder) || t.p.Route.NTried >= baobabstep.MaxTried {
-		t.decide()
+	replacesHolder := t.isSuspect(holder) && t.owners().Second == t.r.opts.Self
+	if holder == t.r.opts.Self || replacesHolder || t.tried(holder) || t.p.Route.NTried >= baobabstep.MaxTried {
+		t.decideAsHolder()
 		return
 	}
 	t.count(EventReturned)
@@ -47,7 +49,7 @@
 }
 
 // nextToAsk returns the next VM that may have the record, or 0.
-func (t *turn) nextToAsk() baobabstep.VMID {
+func (t *task) nextToAsk() baobabstep.VMID {
 	if t.p.Route.NTried >= baobabstep.MaxTried {
 		return 0
 	}
@@ -56,7 +58,8 @@
 	}
 	o := t.owners()
 	if t.p.Kind == baobabstep.KindClose {
-		// A close passes the second copy before the holder; see closeFlow.
+		// A close visits the second copy before the holder; see
+		// closeFlow.
 		o.Holder, o.Second = o.Second, o.Holder
 	}
 	if next := t.pickUntried(o); next != 0 {
@@ -73,20 +76,21 @@
 	return 0
 }
 
-// nextForOpen returns where an open goes next. It may be a repetition, and
-// the record with the previous owners; a second target would then hold the
-// flow as well. Previous owners are asked only for a while after a change, and
-// only if they share no VM with the present ones: a shared holder has the
-// record itself, and a shared second copy is on the open's way.
-func (t *turn) nextForOpen() baobabstep.VMID {
+// nextForOpen returns the next VM for an open, or 0 if this VM should handle
+// it. The open may be a repetition whose record is with the previous owners;
+// missing that record would open the flow on a second target. Previous owners
+// are asked only for Options.OpenSearch after a view change, and only if they
+// share no VM with the current ones: a shared holder has the record itself,
+// and a shared second copy is on the open's path.
+func (t *task) nextForOpen() baobabstep.VMID {
 	o := t.owners()
 	for i := range t.snap.history {
 		past := &t.snap.history[i]
-		if t.now.Sub(past.Until) > t.r.o.OpenSearch {
+		if t.now.Sub(past.Until) > t.r.opts.OpenSearch {
 			break
 		}
 		before := t.ownersUnder(past.Table)
-		if before.Has(o.Holder) || before.Has(o.Second) || before.Has(t.r.o.Self) {
+		if before.Has(o.Holder) || before.Has(o.Second) || before.Has(t.r.opts.Self) {
 			continue
 		}
 		if next := t.pickUntried(before); next != 0 {
@@ -94,18 +98,18 @@
 			return next
 		}
 	}
-	if o.Holder == t.r.o.Self {
+	if o.Holder == t.r.opts.Self {
 		return 0
 	}
-	if t.suspect(o.Holder) && o.Second == t.r.o.Self {
+	if t.isSuspect(o.Holder) && o.Second == t.r.opts.Self {
 		return 0
 	}
 	return t.pickUntried(o)
 }
 
-// previousDataCentres returns those that the service had before its list last
-// changed.
-func (t *turn) previousDataCentres() []string {
+// previousDataCentres returns the service's data centres before the last
+// change of the list.
+func (t *task) previousDataCentres() []string {
 	i, found := t.r.reg.findService(t.p.Flow.Service, 0)
 	if !found {
 		return nil
@@ -113,19 +117,19 @@
 	return t.r.reg.service(i).previous
 }
 
-// pickUntried returns the first owner worth asking, or 0. A suspected VM is
-// not asked: the packet would be lost with it, each time it is repeated.
-func (t *turn) pickUntried(o place.Owners) baobabstep.VMID {
+// pickUntried returns the first owner that can be asked, or 0. Suspected VMs
+// are skipped: every repetition of the packet would be lost.
+func (t *task) pickUntried(o place.Owners) baobabstep.VMID {
 	for _, vm := range [...]baobabstep.VMID{o.Holder, o.Second} {
 		state, member := t.snap.states[vm]
-		if member && state != baobabstep.VMSuspect && vm != t.r.o.Self && !t.tried(vm) {
+		if member && state != baobabstep.VMSuspect && vm != t.r.opts.Self && !t.tried(vm) {
 			return vm
 		}
 	}
 	return 0
 }
 
-func (t *turn) tried(vm baobabstep.VMID) bool {
+func (t *task) tried(vm baobabstep.VMID) bool {
 	for _, v := range t.p.Route.Tried[:t.p.Route.NTried] {
 		if v == vm {
 			return true
@@ -134,34 +138,34 @@
 	return false
 }
 
-// forward passes the packet to another VM that may have the record, noting
-// that this one has none.
-func (t *turn) forward(to baobabstep.VMID) {
-	if to == 0 || to == t.r.o.Self {
+// forward sends the packet to another VM that may have the record, and adds
+// this VM to the list of those that do not.
+func (t *task) forward(to baobabstep.VMID) {
+	if to == 0 || to == t.r.opts.Self {
 		t.count(EventDroppedLoop)
 		return
 	}
-	route := &t.pass(to).Packet.Route
-	if int(route.NTried) < len(route.Tried) && !t.tried(t.r.o.Self) {
-		route.Tried[route.NTried] = t.r.o.Self
+	route := &t.relay(to).Packet.Route
+	if int(route.NTried) < len(route.Tried) && !t.tried(t.r.opts.Self) {
+		route.Tried[route.NTried] = t.r.opts.Self
 		route.NTried++
 	}
 }
 
-// pass sends the packet to another VM without a word on this VM's records.
-func (t *turn) pass(to baobabstep.VMID) *baobabstep.Send {
+// relay sends the packet to another VM without adding this VM to Route.Tried.
+func (t *task) relay(to baobabstep.VMID) *baobabstep.Send {
 	t.count(EventForwarded)
-	s := t.emit(baobabstep.DestVM)
+	s := t.sendPacket(baobabstep.DestVM)
 	s.VM = to
 	s.Packet.Route = t.p.Route
 	s.Packet.Route.Purpose = baobabstep.PurposeForward
-	s.Packet.Route.From = t.r.o.Self
+	s.Packet.Route.From = t.r.opts.Self
 	return s
 }
 
-// passOn hands a packet to another VM, since a paused one decides nothing: its
-// flows may have moved, and its records may be out of date.
-func (t *turn) passOn() {
+// relayWhilePaused forwards a packet to another owner. A paused VM decides
+// nothing, since its flows may have moved and its records may be outdated.
+func (t *task) relayWhilePaused() {
 	next := t.pickUntried(t.owners())
 	for i := 0; next == 0 && i < len(t.snap.history); i++ {
 		next = t.pickUntried(t.ownersUnder(t.snap.history[i].Table))
@@ -173,82 +177,83 @@
 	t.forward(next)
 }
 
-// decide acts as holder on a packet that no VM knew.
-func (t *turn) decide() {
+// decideAsHolder handles, as holder, a packet for which no VM has a record.
+func (t *task) decideAsHolder() {
 	switch {
 	case t.p.FromTarget:
-		t.rebuild()
+		t.rebuildRecord()
 	case t.p.Kind == baobabstep.KindOpen:
-		t.open()
+		t.openFlow()
 	case t.p.Kind == baobabstep.KindData || t.p.Kind == baobabstep.KindProbe:
-		t.lost()
+		t.handleLostFlow()
 	default:
 		t.count(EventDroppedUnknown)
 	}
 }
 
-// rebuild makes the record anew from a target's packet: the target is the
-// authority on holding the flow. Ends of flows need none.
-func (t *turn) rebuild() {
+// rebuildRecord creates a record from a target's packet, since the target is
+// the authority on whether it has the flow. Closes and resets create no
+// record.
+func (t *task) rebuildRecord() {
 	switch t.p.Kind {
 	case baobabstep.KindOpened, baobabstep.KindData, baobabstep.KindProbe, baobabstep.KindProbeAck:
 	default:
 		t.count(EventDroppedUnknown)
 		return
 	}
-	tg, valid := t.vouched()
+	tg, valid := t.sourceTarget()
 	sv, known := t.r.reg.findService(t.p.Flow.Service, t.p.Service)
 	if !valid || !known {
 		t.count(EventDroppedWrongTarget)
 		return
 	}
-	t.forgetSearch()
+	t.dropSearch()
 	t.count(EventRecovered)
-	rec := t.create(sv, StateEstablished, 0)
-	t.aim(rec, tg, false)
+	rec := t.createRecord(sv, StateEstablished, 0)
+	t.assignTarget(rec, tg, false)
 	rec.version = clampVersion(t.p.Version)
-	t.evaluate(rec)
+	t.refreshRole(rec)
 	if t.p.Kind == baobabstep.KindProbeAck {
 		if other := t.otherOwner(); other != 0 {
-			t.teach(other, rec)
+			t.sendRecord(other, rec)
 		}
 		return
 	}
-	t.toCaller(rec)
+	t.sendToCaller(rec)
 }
 
 // searchTTL is how long a search for a flow is remembered.
 const searchTTL = 5 * time.Second
 
-// maxSearched bounds the targets asked for one flow.
+// maxSearched bounds the targets probed for one flow.
 const maxSearched = 64
 
-// lost answers a caller whose flow no VM knows. All VMs with a copy may have
-// died while the flow lives on at its target, so the targets are asked first;
-// the one that holds it answers, which rebuilds the record. The packet itself
-// is dropped, and the caller repeats it. If no target has answered when it
-// does, the flow is gone and the caller is told.
-func (t *turn) lost() {
-	mark := t.s.find(&t.hash)
-	if mark == nil {
-		t.search()
+// handleLostFlow handles a caller's packet for a flow without a record. All
+// VMs with the record may have died while the target still has the flow, so
+// the targets are probed first; an acknowledgement rebuilds the record. The
+// packet is dropped, and the caller repeats it. If no target has answered by
+// then, the caller gets a reset.
+func (t *task) handleLostFlow() {
+	searchRec := t.s.find(&t.hash)
+	if searchRec == nil {
+		t.searchTargets()
 		return
 	}
-	switch waited := since(t.tick, mark.fromCaller); {
-	case waited < ticks(t.r.o.SearchWait):
+	switch waited := since(t.tick, searchRec.lastFromCaller); {
+	case waited < ticks(t.r.opts.SearchWait):
 		t.count(EventDroppedUnknown)
-	case t.unsure():
+	case t.mayBeIsolated():
 		t.count(EventDroppedUnsure)
-		t.drop(mark)
+		t.dropRecord(searchRec)
 	default:
 		t.count(EventUnknownReset)
-		t.drop(mark)
-		t.refuseCaller(baobabstep.CodeUnknownFlow, 0)
+		t.dropRecord(searchRec)
+		t.resetCaller(baobabstep.CodeUnknownFlow, 0)
 	}
 }
 
-// search asks the targets of the service for the flow.
-func (t *turn) search() {
+// searchTargets probes the targets of the service for the flow.
+func (t *task) searchTargets() {
 	sv, found := t.r.reg.findService(t.p.Flow.Service, 0)
 	if !found || !t.roomForOpen() {
 		t.count(EventDroppedUnknown)
@@ -262,22 +267,22 @@
 		return
 	}
 	t.count(EventSearched)
-	t.create(sv, StateSearching, 0)
+	t.createRecord(sv, StateSearching, 0)
 	asked = 0
 	t.r.reg.targetsOf(id, func(tg *target) {
-		if asked++; asked > maxSearched || tg.taken.Load() {
+		if asked++; asked > maxSearched || tg.addressTaken.Load() {
 			return
 		}
-		s := t.control(baobabstep.DestTarget, baobabstep.KindProbe, false)
+		s := t.sendControl(baobabstep.DestTarget, baobabstep.KindProbe, false)
 		s.Address = tg.address
-		s.Packet.Seq = probeSeq(t.r.o.Self)
+		s.Packet.Seq = probeSeq(t.r.opts.Self)
 		s.Packet.Service, s.Packet.Target = tg.service, tg.id
 	})
 }
 
-// forgetSearch removes the mark of a search for the flow.
-func (t *turn) forgetSearch() {
+// dropSearch removes the flow's entry in StateSearching.
+func (t *task) dropSearch() {
 	if rec := t.s.find(&t.hash); rec != nil && rec.state == StateSearching {
-		t.drop(rec)
+		t.dropRecord(rec)
 	}
 }
--- a/core/flow/fleet_change_test.go
+++ b/core/flow/fleet_change_test.go
@@ -10,29 +10,29 @@
 	"baobabstep"
 )
 
-// A target forgets one flow of many while its caller goes on sending, and at
-// that moment the fleet changes: a VM dies, or the flow's holder was paused and
-// comes back. For 10 s after a change nothing used to count as silent, so the
-// caller got no answer, gave up by itself after 8 s, and could not tell that it
+// A target loses one flow of many while its caller keeps sending, and the
+// fleet changes at that moment: a VM dies, or the flow's holder resumes after
+// a pause. Unanswered probes of targets must count before Options.Grace (10 s)
+// is over, since the caller times out after 8 s and then does not know that it
 // may reconnect at once.
 func TestForgottenFlowIsResetWhileTheFleetChanges(t *testing.T) {
 	t.Parallel()
-	others := func(x *exchange, id baobabstep.VMID) []baobabstep.VM {
+	others := func(x *testNetwork, id baobabstep.VMID) []baobabstep.VM {
 		return slices.DeleteFunc(slices.Clone(x.vms), func(vm baobabstep.VM) bool { return vm.ID == id })
 	}
 	tests := []struct {
 		name   string
-		change func(x *exchange, holder, second baobabstep.VMID)
+		change func(x *testNetwork, holder, second baobabstep.VMID)
 	}{
-		{"the holder dies", func(x *exchange, holder, _ baobabstep.VMID) {
+		{"the holder dies", func(x *testNetwork, holder, _ baobabstep.VMID) {
 			x.kill(holder)
 			x.setViews(others(x, holder))
 		}},
-		{"the second copy dies", func(x *exchange, _, second baobabstep.VMID) {
+		{"the second copy dies", func(x *testNetwork, _, second baobabstep.VMID) {
 			x.kill(second)
 			x.setViews(others(x, second))
 		}},
-		{"the holder's pause ends", func(x *exchange, holder, _ baobabstep.VMID) {
+		{"the holder's pause ends", func(x *testNetwork, holder, _ baobabstep.VMID) {
 			x.setViews(others(x, holder))
 			x.routers[holder].SetPaused(x.now, true)
 			x.setViews(x.vms)
@@ -42,7 +42,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+			x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 			flows := openMany(x, 60)
 			x.advance(time.Minute)
 			forgotten := flows[7]
@@ -52,7 +52,7 @@
 			o := x.owners(forgotten.key, x.vms)
 			test.change(x, o.Holder, o.Second)
 			for range 7 {
-				x.useAll(flows)
+				x.sendDataOnAll(flows)
 				x.advance(time.Second)
 			}
 			x.lose = nil
--- a/core/flow/fleet_test.go
+++ b/core/flow/fleet_test.go
@@ -23,10 +23,10 @@
 	os.Exit(m.Run())
 }
 
-// maxHalfOpen is small, so that a test can reach it.
+// maxHalfOpen is small enough for a test to reach it.
 const maxHalfOpen = 400
 
-func (x *exchange) addVM(i, dcs int) {
+func (x *testNetwork) addVM(i, dcs int) {
 	name := fmt.Sprint("vm", i)
 	vm := baobabstep.VM{ID: baobabstep.MakeVMID(name), Name: name, DataCentre: fmt.Sprint("dc", i%dcs), Rack: fmt.Sprint("rack", i%4)}
 	x.vms = append(x.vms, vm)
@@ -36,12 +36,12 @@
 		}
 		return 1
 	})
-	x.start(vm)
+	x.startRouter(vm)
 }
 
-// start gives a VM a router without records.
-func (x *exchange) start(vm baobabstep.VM) {
-	x.choosers[vm.ID] = &fakeChooser{count: map[baobabstep.TargetID]int{}, next: len(x.choosers)}
+// startRouter gives a VM a new router without records.
+func (x *testNetwork) startRouter(vm baobabstep.VM) {
+	x.choosers[vm.ID] = &fakeChooser{counts: map[baobabstep.TargetID]int{}, next: len(x.choosers)}
 	r, err := flow.NewPolicy(x.now, x.policy, flow.Options{
 		Self: vm.ID, DataCentre: vm.DataCentre, Shards: 4, MaxHalfOpen: maxHalfOpen,
 		Chooser:   x.choosers[vm.ID],
@@ -55,7 +55,7 @@
 	x.routers[vm.ID] = r
 }
 
-func (x *exchange) setConfig(c *baobabstep.Config) {
+func (x *testNetwork) setConfig(c *baobabstep.Config) {
 	c.Index()
 	x.config = c
 	for i := range c.Services {
@@ -70,57 +70,57 @@
 	}
 }
 
-// setView gives one VM its own view.
-func (x *exchange) setView(vm baobabstep.VMID, members []baobabstep.VM) {
+// setView sets the view of one VM.
+func (x *testNetwork) setView(vm baobabstep.VMID, members []baobabstep.VM) {
 	v := &baobabstep.View{Self: vm, Members: slices.Clone(members), ChangedAt: x.now}
 	if r := x.routers[vm]; r != nil {
 		r.SetView(x.now, v)
 	}
 }
 
-// setViews gives all VMs the same view.
-func (x *exchange) setViews(members []baobabstep.VM) {
+// setViews sets the same view on all VMs.
+func (x *testNetwork) setViews(members []baobabstep.VM) {
 	for _, vm := range x.vms {
 		x.setView(vm.ID, members)
 	}
 }
 
-// kill takes VMs down; others keep their views until told.
-func (x *exchange) kill(vms ...baobabstep.VMID) {
+// kill removes VMs; the others keep their views.
+func (x *testNetwork) kill(vms ...baobabstep.VMID) {
 	for _, vm := range vms {
 		x.dead[vm] = true
 		delete(x.routers, vm)
 	}
 }
 
-// alive returns the VMs that run.
-func (x *exchange) alive() []baobabstep.VM {
+// alive returns the running VMs.
+func (x *testNetwork) alive() []baobabstep.VM {
 	return slices.DeleteFunc(slices.Clone(x.vms), func(vm baobabstep.VM) bool { return x.dead[vm.ID] })
 }
 
-// advance moves the time, with a Tick of each router every 100 ms.
-func (x *exchange) advance(d time.Duration) {
+// advance advances the time, with a Tick of each router every 100 ms.
+func (x *testNetwork) advance(d time.Duration) {
 	for range d / (100 * time.Millisecond) {
 		x.now = x.now.Add(100 * time.Millisecond)
 		for _, vm := range x.vms {
 			if r := x.routers[vm.ID]; r != nil {
 				var out baobabstep.Outbox
 				r.Tick(x.now, &out)
-				x.push(vm.ID, out)
+				x.enqueue(vm.ID, out)
 			}
 		}
 		x.run()
 	}
 }
 
-func (x *exchange) key(n int) baobabstep.FlowKey {
+func (x *testNetwork) key(n int) baobabstep.FlowKey {
 	return baobabstep.FlowKey{
 		Caller:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(n >> 8), byte(n)}), 5000),
 		Service: x.config.Services[0].Address, Number: uint64(n) + 1,
 	}
 }
 
-func (x *exchange) owners(key baobabstep.FlowKey, members []baobabstep.VM) place.Owners {
+func (x *testNetwork) owners(key baobabstep.FlowKey, members []baobabstep.VM) place.Owners {
 	h := place.Hash(x.config.FlowSecret, key)
 	if x.table == nil {
 		x.table = place.New(&baobabstep.View{})
@@ -129,8 +129,8 @@
 	return x.table.Owners(h, x.config.Services[0].DataCentres)
 }
 
-// caller returns the caller's end of flow n, and makes it if needed.
-func (x *exchange) caller(n int) *fakeCaller {
+// caller returns the caller's end of flow n, which it creates if necessary.
+func (x *testNetwork) caller(n int) *fakeCaller {
 	key := x.key(n)
 	if x.callers[key] == nil {
 		x.callers[key] = &fakeCaller{key: key}
@@ -138,31 +138,32 @@
 	return x.callers[key]
 }
 
-// sendOpen sends one open by way of a VM, or of any.
-func (x *exchange) sendOpen(n int, vm baobabstep.VMID) *fakeCaller {
+// sendOpen sends one open to a VM; VM 0 stands for a random one.
+func (x *testNetwork) sendOpen(n int, vm baobabstep.VMID) *fakeCaller {
 	c := x.caller(n)
-	x.enter(vm, baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: c.key})
+	x.receive(vm, baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: c.key})
 	x.run()
 	return c
 }
 
-// open opens flow n, repeating as a caller does.
-func (x *exchange) open(n int) *fakeCaller {
+// open opens flow n, with repetitions as a caller sends them.
+func (x *testNetwork) open(n int) *fakeCaller {
 	c := x.sendOpen(n, 0)
 	for try := 0; c.opened == 0 && c.reset == 0 && try < 20; try++ {
 		x.advance(200 * time.Millisecond)
 		x.sendOpen(n, 0)
 	}
 	if c.opened == 0 {
-		x.t.Fatalf("flow %v does not open, reset %v", c.key, c.reset)
+		x.t.Fatalf("flow %v did not open, reset %v", c.key, c.reset)
 	}
 	return c
 }
 
-// say sends data, repeating until it is echoed, and returns whether it was.
-func (x *exchange) say(c *fakeCaller, text string, vm baobabstep.VMID) bool {
+// sendData sends data, repeats it until it is echoed, and reports whether it
+// was.
+func (x *testNetwork) sendData(c *fakeCaller, text string, vm baobabstep.VMID) bool {
 	for range 30 {
-		x.enter(vm, baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key, Payload: []byte(text)})
+		x.receive(vm, baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key, Payload: []byte(text)})
 		x.run()
 		if slices.Contains(c.got, "echo "+text) {
 			return true
@@ -176,19 +177,19 @@
 	return false
 }
 
-// assertAlive checks that flows still reach the targets they were opened on,
-// and that no other target holds them.
-func (x *exchange) assertAlive(flows ...*fakeCaller) {
+// assertAlive checks that data on the flows reaches the targets on which they
+// were opened, and that no other target has them.
+func (x *testNetwork) assertAlive(flows ...*fakeCaller) {
 	x.t.Helper()
 	for i, c := range flows {
-		if !x.say(c, fmt.Sprintf("check %d at %v", i, x.now.Unix()), 0) {
+		if !x.sendData(c, fmt.Sprintf("check %d at %v", i, x.now.Unix()), 0) {
 			x.t.Fatalf("flow %v broken, reset %v", c.key, c.reset)
 		}
 		x.assertOneTarget(c)
 	}
 }
 
-func (x *exchange) assertOneTarget(c *fakeCaller) {
+func (x *testNetwork) assertOneTarget(c *fakeCaller) {
 	x.t.Helper()
 	for id, tg := range x.targets {
 		if _, holds := tg.flows[c.key]; holds != (id == c.bound) {
@@ -197,8 +198,8 @@
 	}
 }
 
-// events sums a counter over the running VMs.
-func (x *exchange) events(name string) (n uint64) {
+// events returns the sum of a counter over the running VMs.
+func (x *testNetwork) events(name string) (n uint64) {
 	for _, r := range x.routers {
 		if r != nil {
 			n += r.Stats().Events[name]
@@ -207,23 +208,23 @@
 	return n
 }
 
-// stop stops a VM in good order and returns the calls that it took.
-func (x *exchange) stop(vm baobabstep.VMID) (calls int) {
+// stop stops a VM gracefully and returns the number of Stop calls it took.
+func (x *testNetwork) stop(vm baobabstep.VMID) (calls int) {
 	for ; calls < 200; calls++ {
 		var out baobabstep.Outbox
 		remaining := x.routers[vm].Stop(x.now, &out)
-		x.push(vm, out)
+		x.enqueue(vm, out)
 		x.run()
 		if remaining == 0 {
 			return calls
 		}
 		x.advance(100 * time.Millisecond)
 	}
-	x.t.Fatalf("stop did not come to an end")
+	x.t.Fatalf("stop did not finish")
 	return calls
 }
 
-func (x *exchange) assertNobodyHolds(c *fakeCaller) {
+func (x *testNetwork) assertNoTargetHolds(c *fakeCaller) {
 	x.t.Helper()
 	for id, tg := range x.targets {
 		if _, holds := tg.flows[c.key]; holds {
@@ -232,17 +233,17 @@
 	}
 }
 
-// restart restarts a VM between two heartbeats: its memory is gone, and others
-// see no more than a higher incarnation.
-func (x *exchange) restart(id baobabstep.VMID) {
+// restart restarts a VM between two heartbeats: its records are lost, and the
+// other VMs only see a higher incarnation.
+func (x *testNetwork) restart(id baobabstep.VMID) {
 	i := slices.IndexFunc(x.vms, func(vm baobabstep.VM) bool { return vm.ID == id })
 	x.vms[i].Incarnation++
-	x.start(x.vms[i])
+	x.startRouter(x.vms[i])
 	x.setViews(x.vms)
 }
 
-// setConfigLate puts a configuration in force on every second VM only.
-func (x *exchange) setConfigLate(c *baobabstep.Config) {
+// setConfigLate applies a configuration on every second VM only.
+func (x *testNetwork) setConfigLate(c *baobabstep.Config) {
 	routers := x.routers
 	x.routers = nil
 	x.setConfig(c)
@@ -254,15 +255,15 @@
 	}
 }
 
-// freshAddress returns an address that no target had.
-func (x *exchange) freshAddress() netip.AddrPort {
+// freshAddress returns an address that no target has had.
+func (x *testNetwork) freshAddress() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 2, byte(len(x.targets))}), 80)
 }
 
-// useAll sends one packet of data on each flow, by way of any VM.
-func (x *exchange) useAll(flows []*fakeCaller) {
+// sendDataOnAll sends one data packet on each flow to a random VM.
+func (x *testNetwork) sendDataOnAll(flows []*fakeCaller) {
 	for _, c := range flows {
-		x.enter(0, baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key})
+		x.receive(0, baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key})
 		x.run()
 	}
 }
--- a/core/flow/flow.go
+++ b/core/flow/flow.go
@@ -1,45 +1,43 @@
-// Package flow routes the packets of flows and keeps the records that tell
-// where each flow goes.
+// Package flow routes the packets of flows and keeps the flow table.
 //
-// # The model
+// # Ownership
 //
-// Any VM may receive any packet. The record of a flow is kept by two VMs, its
-// holder and its second copy; package place says which. A VM with the record
-// sends a packet straight to the target, a VM without it passes the packet to
-// the holder.
+// Any VM may receive any packet. Each flow has two owners, the holder and the
+// second copy, which package place selects. A VM that has the flow's record
+// sends a packet straight to the target; a VM without it forwards the packet
+// to the holder.
 //
 //	open:    entry -> holder (picks the target) -> second copy -> target
 //	opened:  target -> entry -> holder -> second copy -> caller
 //	data:    entry -> holder -> target          and back the same way
 //
-// The first packet of a flow and its acceptance travel by way of the second
-// copy, which stores the record as they pass. A caller that was told that its
-// flow is open therefore knows that two VMs have the record, and the copy cost
-// no message of its own.
+// The open and the acceptance of a flow pass through the second copy, which
+// stores the record they carry. So once the caller learns that its flow is
+// open, two VMs have the record, and replication took no message of its own.
 //
 // # When views differ
 //
-// Two VMs may believe at the same time that they hold a flow, or none may have
-// its record. The rules that keep this safe:
+// Two VMs may each consider themselves the holder of a flow, or no VM may have
+// its record. These rules keep the flow consistent:
 //
-//   - An owner without the record asks the other owner and the previous ones
-//     by passing the packet on, at most baobabstep.MaxTried times.
-//   - Only the target knows for certain whether it has a flow. A packet from
-//     a target rebuilds a lost record; a caller's packet without a record has
-//     the targets of the service asked, and the caller is told that the flow
-//     is unknown only when none of them answered for it.
-//   - Different records of one flow are ordered by [Beats], the same on each
-//     VM. The target of the loser gets a reset.
-//   - An established record never changes its target by itself.
+//   - An owner without the record asks the other owner and the previous owners by
+//     forwarding the packet, to at most baobabstep.MaxTried VMs.
+//   - The target is the authority on whether it has a flow. A packet from a
+//     target rebuilds a lost record. For a caller's packet without a record, the
+//     targets of the service are probed, and the caller gets "unknown flow" only
+//     if none of them answers for it.
+//   - Conflicting records of one flow are ordered by [Beats], identically on
+//     every VM. The target of the losing record gets a reset.
+//   - The target of an established record changes only if that record loses such
+//     a conflict.
 //
-// # Time and threads
+// # Time and concurrency
 //
-// The present time is an argument, and the router starts no goroutine. It is
-// safe for concurrent use: records stand in shards, each under its own lock;
-// view and configuration are immutable and swapped as a whole.
+// The current time is an argument, and the router starts no goroutine. It is
+// safe for concurrent use: the flow table is sharded with a lock per shard;
+// view and configuration are immutable and replaced as a whole.
 //
-// The file to read first is handle.go, then send.go, open.go, copies.go and
-// find.go.
+// Start reading at handle.go, then send.go, open.go, copies.go and find.go.
 package flow
 
 import (
@@ -54,66 +52,71 @@
 	"baobabstep/core/place"
 )
 
-// Options are the settings of a [Router]. Zero values stand for the defaults
-// given with each field.
+// Options are the settings of a [Router]. Zero values select the defaults
+// given in parentheses.
 type Options struct {
 	Self       baobabstep.VMID
 	DataCentre string
 	Chooser    baobabstep.Chooser
-	// Rand seeds the random numbers of the shards. It is not used later.
+	// Rand seeds the random generators of the shards; only New uses it.
 	Rand *rand.Rand
-	// Invariant is called when an invariant is broken, after counting it.
-	// Tests and the demo make it fatal; nil only counts.
+	// Invariant is called after a violated invariant was counted. Tests
+	// and the demo make it fatal; nil only counts.
 	Invariant func(name, detail string)
 
-	// Shards is the number of parts of the table, a power of two (64).
+	// Shards is the number of shards of the flow table, a power of two
+	// (64).
 	Shards int
-	// MaxFlows bounds the records of all kinds (2,000,000).
+	// MaxFlows bounds the number of records in all states (2,000,000).
 	MaxFlows int
-	// MaxHalfOpen bounds the flows whose caller was not heard after the
+	// MaxHalfOpen bounds the flows whose caller has sent nothing since the
 	// target accepted (an eighth of MaxFlows).
 	MaxHalfOpen int
-	// MaxHalfOpenPerCaller bounds those of one caller address, or of the few
-	// that share a counter with it (a sixteenth of MaxHalfOpen).
+	// MaxHalfOpenPerCaller bounds the half-open flows per caller address,
+	// counted together for addresses that share a counter (a sixteenth of
+	// MaxHalfOpen).
 	MaxHalfOpenPerCaller int
 	// OpenTimeout is how long a target may take to accept a flow (10 s).
 	OpenTimeout time.Duration
-	// ConfirmAfter is the time after which a caller that was not heard
-	// since its flow opened is probed (3 s).
+	// ConfirmAfter is how long a caller may stay silent after its flow
+	// opened before it is probed (3 s).
 	ConfirmAfter time.Duration
-	// TombstoneTTL is how long late packets find an ended flow (30 s).
+	// TombstoneTTL is how long the record of an ended flow is kept to
+	// answer late packets (30 s).
 	TombstoneTTL time.Duration
-	// OpenSearch is the time after a view change during which an open first
-	// visits the previous owners (10 s).
+	// OpenSearch is how long after a view change an open is first
+	// forwarded to the previous owners (10 s).
 	OpenSearch time.Duration
-	// Grace is the time after the start, a pause and a mass death during
-	// which nothing is declared unknown or silent (10 s).
+	// Grace is the time after start, a pause or the loss of many VMs
+	// during which no flow is declared unknown or silent (10 s).
 	Grace time.Duration
-	// SearchWait is how long targets may take to answer for a flow without
-	// a record (1 s).
+	// SearchWait is how long targets may take to answer probes for a flow
+	// without a record (1 s).
 	SearchWait time.Duration
-	// IdleProbe is the silence of one direction after which it is probed
+	// IdleProbe is how long one direction may be idle before it is probed
 	// (15 s).
 	IdleProbe time.Duration
 	// ProbeInterval is the time between probes (2 s).
 	ProbeInterval time.Duration
-	// AnswerWait is how long a target may say nothing after its caller spoke
-	// before it is probed (2 s), and AnswerProbeInterval the time between
-	// such probes (1 s): the caller of a flow that its target has forgotten
-	// waits for an answer, and learns of it about 5 s later.
+	// AnswerWait is how long a target may leave its caller's packet
+	// unanswered before it is probed (2 s), and AnswerProbeInterval the
+	// time between such probes (1 s). If the target lost the flow, the
+	// caller gets a reset after about 5 s.
 	AnswerWait, AnswerProbeInterval time.Duration
-	// MaxHold bounds the time that resets of silent flows are held back
-	// while the VM itself may be cut off (2 h).
+	// MaxHold bounds how long resets of silent flows are withheld while
+	// the VM itself may be disconnected (2 h).
 	MaxHold time.Duration
-	// AuditAfter is the time after which the second copy of an idle flow is
-	// compared with the holder, if nothing else needs the budget (100 min,
-	// at most that).
+	// AuditAfter is the idle time after which the second copy of a flow is
+	// compared with the holder, if the repair budget is otherwise unused
+	// (100 min, which is also the maximum).
 	AuditAfter time.Duration
 	// ProbesPerSecond bounds probes of idle flows (8,000).
 	ProbesPerSecond float64
-	// SearchesPerSecond bounds probes in search of lost flows (2,000).
+	// SearchesPerSecond bounds the probes that search for lost flows
+	// (2,000).
 	SearchesPerSecond float64
-	// RepairBytesPerSecond bounds the copies made for idle flows (2,048).
+	// RepairBytesPerSecond bounds the traffic for replicating idle flows
+	// (2,048).
 	RepairBytesPerSecond float64
 }
 
@@ -141,93 +144,97 @@
 	o.RepairBytesPerSecond = cmp.Or(o.RepairBytesPerSecond, 2048)
 }
 
-// maxAudit fits the 16 bits of record.lastRepair.
+// maxAudit is the maximum of Options.AuditAfter; record.lastRepair holds 16
+// bits of ticks.
 const maxAudit = 100 * time.Minute
 
-// Router decides for the packets of flows. It is safe for concurrent use.
+// Router is the replicated flow policy. It is safe for concurrent use.
 type Router struct {
-	o       Options
-	epoch   time.Time
-	shards  []*shard
-	reg     *registry
-	current atomic.Pointer[snapshot]
+	opts      Options
+	createdAt time.Time
+	shards    []*shard
+	reg       *registry
+	current   atomic.Pointer[snapshot]
 
 	// mu serialises changes of the snapshot and the work of Tick and Stop.
 	mu sync.Mutex
-	// searches is under its own lock, taken within a shard's.
-	searches bucket
-	probes   bucket
-	repairs  bucket
+	// searches has its own lock, which is acquired while a shard lock is
+	// held.
+	searches tokenBucket
+	probes   tokenBucket
+	repairs  tokenBucket
 	scan     scan
-	// ticked is the time of the last Tick.
-	ticked atomic.Uint32
-	// callersHeard is the tick of the last packet from any caller, and
-	// callersAcked of the last answer to a probe of this VM.
+	// lastTick is the time of the last Tick.
+	lastTick atomic.Uint32
+	// callersHeard is the tick of the last packet from any caller,
+	// callersAcked that of the last probe acknowledgement from any caller.
 	callersHeard atomic.Uint32
 	callersAcked atomic.Uint32
 	callers      callerCounts
 }
 
-// snapshot is the view and configuration that one decision uses.
+// snapshot is the immutable view and configuration that one task uses.
 type snapshot struct {
 	config  *baobabstep.Config
 	view    *baobabstep.View
 	table   *place.Table
 	history place.History
 	states  map[baobabstep.VMID]baobabstep.VMState
-	// lives tells the members' lives apart; a VM that came back may have
-	// lost its records.
-	lives map[baobabstep.VMID]life
-	// epoch numbers the lives that began.
-	epoch uint32
-	// probers finds a member by the mark of its probes.
+	// epochs holds the current epoch of each member; a VM that restarted
+	// may have lost its records.
+	epochs map[baobabstep.VMID]memberEpoch
+	// lastEpoch is the last epoch assigned.
+	lastEpoch uint32
+	// probers maps the sequence number of a probe to the member that sent
+	// it.
 	probers map[uint32]baobabstep.VMID
-	// gen counts changes of owners, so that records can cache their role.
+	// gen counts ownership changes; a record's cached role is valid for
+	// one gen.
 	gen uint16
-	// changed is when the table last changed.
-	changed time.Time
-	// certain is when "no record found" begins to mean something.
-	certain time.Time
-	paused  bool
-	// leaving is set by Stop: the VM owns nothing any more.
+	// changedAt is when the owner table last changed.
+	changedAt time.Time
+	// graceEnd is when missing records and answers become conclusive.
+	graceEnd time.Time
+	paused   bool
+	// leaving is set by Stop: the VM owns no flows any more.
 	leaving bool
 }
 
-// New returns a router without view and configuration; packets are dropped
-// until both are set.
+// New returns a router that drops packets until both view and configuration
+// are set.
 func New(now time.Time, o Options) *Router {
 	o.setDefaults()
 	r := &Router{
-		o:        o,
-		epoch:    now,
-		reg:      newRegistry(),
-		searches: newBucket(o.SearchesPerSecond, now),
-		probes:   newBucket(o.ProbesPerSecond, now),
-		repairs:  newBucket(o.RepairBytesPerSecond, now),
+		opts:      o,
+		createdAt: now,
+		reg:       newRegistry(),
+		searches:  newTokenBucket(o.SearchesPerSecond, now),
+		probes:    newTokenBucket(o.ProbesPerSecond, now),
+		repairs:   newTokenBucket(o.RepairBytesPerSecond, now),
 	}
-	r.scan.wanted = make(map[string]tick)
-	r.scan.witnesses = make(map[string]int)
+	r.scan.evidenceWanted = make(map[string]tick)
+	r.scan.pathProbes = make(map[string]int)
 	r.callers.seed = o.Rand.Uint64()
 	for range o.Shards {
 		random := rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))
 		r.shards = append(r.shards, &shard{random: random, callers: &r.callers})
 	}
 	r.current.Store(&snapshot{
-		states:  map[baobabstep.VMID]baobabstep.VMState{},
-		table:   place.New(&baobabstep.View{}),
-		changed: now,
-		certain: now.Add(o.Grace),
+		states:    map[baobabstep.VMID]baobabstep.VMState{},
+		table:     place.New(&baobabstep.View{}),
+		changedAt: now,
+		graceEnd:  now.Add(o.Grace),
 	})
 	return r
 }
 
-// tick converts a time; times before the router was made count as its start.
+// tick converts a time; times before the router's creation count as tick 0.
 func (r *Router) tick(now time.Time) tick {
-	return tick(max(0, now.Sub(r.epoch)) / tickLength)
+	return tick(max(0, now.Sub(r.createdAt)) / tickLength)
 }
 
-// change publishes a changed copy of the snapshot.
-func (r *Router) change(f func(s *snapshot)) {
+// updateSnapshot applies f to a copy of the snapshot and publishes it.
+func (r *Router) updateSnapshot(f func(s *snapshot)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := *r.current.Load()
@@ -235,34 +242,35 @@
 	r.current.Store(&next)
 }
 
-// SetConfig puts a configuration in force. Versions only grow: an older one is
-// ignored.
+// SetConfig applies a configuration. One with a lower version than the current
+// is ignored.
 func (r *Router) SetConfig(now time.Time, c *baobabstep.Config) {
-	r.change(func(s *snapshot) {
+	r.updateSnapshot(func(s *snapshot) {
 		if s.config != nil && c.Version < s.config.Version {
 			return
 		}
 		s.config = c
-		if r.reg.load(c) {
+		if r.reg.loadConfig(c) {
 			s.gen++
-			s.changed = now
+			s.changedAt = now
 		}
 	})
 }
 
-// SetView takes in a new view of the fleet.
+// SetView applies a new membership view.
 func (r *Router) SetView(now time.Time, v *baobabstep.View) {
-	r.change(func(s *snapshot) { r.setView(now, s, v) })
+	r.updateSnapshot(func(s *snapshot) { r.setView(now, s, v) })
 }
 
-// massDeath is the share of members whose loss at one moment means that both
-// copies of many records may be gone.
-const massDeath = 4
+// massLossDivisor defines the loss of many VMs: if at least 1/massLossDivisor
+// of the members, and more than one, disappear at once, both copies of many
+// records may be lost.
+const massLossDivisor = 4
 
 func (r *Router) setView(now time.Time, s *snapshot, v *baobabstep.View) {
 	members := v
 	if s.leaving {
-		members = withoutSelf(v, r.o.Self)
+		members = withoutSelf(v, r.opts.Self)
 	}
 	states := make(map[baobabstep.VMID]baobabstep.VMState, len(members.Members))
 	for i := range members.Members {
@@ -278,11 +286,11 @@
 			lost++
 		}
 	}
-	if lost > 1 && lost*massDeath >= len(s.states) {
-		s.certain = now.Add(r.o.Grace)
+	if lost > 1 && lost*massLossDivisor >= len(s.states) {
+		s.graceEnd = now.Add(r.opts.Grace)
 	}
 	first := s.view == nil
-	if s.trackLives(members) {
+	if s.updateEpochs(members) {
 		s.gen++
 	}
 	s.view, s.states, s.probers = v, states, probers
@@ -293,33 +301,34 @@
 	if !first {
 		s.history = s.history.Push(place.Past{Table: s.table, Until: now})
 	}
-	s.table, s.changed = table, now
+	s.table, s.changedAt = table, now
 	s.gen++
 }
 
-// life is one run of a VM, or at least a time in which it was not given up.
-type life struct {
+// memberEpoch identifies a period in which a member kept its records.
+type memberEpoch struct {
 	incarnation uint64
 	epoch       uint32
 }
 
-// trackLives gives a new epoch to members that joined or whose incarnation
-// grew, and tells whether there are any. A VM that only refuted a suspicion
-// gets one as well: its records are then copied once more than needed.
-func (s *snapshot) trackLives(v *baobabstep.View) (changed bool) {
-	lives := make(map[baobabstep.VMID]life, len(v.Members))
+// updateEpochs assigns a new epoch to members that joined or whose incarnation
+// grew, and reports whether there are any. A VM that only refuted a suspicion
+// gets a new epoch too, so its records are replicated once more than
+// necessary.
+func (s *snapshot) updateEpochs(v *baobabstep.View) (changed bool) {
+	epochs := make(map[baobabstep.VMID]memberEpoch, len(v.Members))
 	for i := range v.Members {
 		vm := &v.Members[i]
-		l, known := s.lives[vm.ID]
+		l, known := s.epochs[vm.ID]
 		if s.view != nil && vm.ID != v.Self && (!known || vm.Incarnation > l.incarnation) {
-			s.epoch++
-			l.epoch = s.epoch
+			s.lastEpoch++
+			l.epoch = s.lastEpoch
 			changed = true
 		}
 		l.incarnation = vm.Incarnation
-		lives[vm.ID] = l
+		epochs[vm.ID] = l
 	}
-	s.lives = lives
+	s.epochs = epochs
 	return changed
 }
 
@@ -334,39 +343,40 @@
 	return &next
 }
 
-// SetPaused tells that the VM found itself paused, or that it is sure again of
-// its place in the fleet. While paused it never acts as holder and resets
-// nothing: others may have taken over its flows.
+// SetPaused reports that the VM detected its own pause, or that its membership
+// is confirmed again. While paused, the VM never acts as holder and resets
+// nothing, since other VMs may have taken over its flows.
 func (r *Router) SetPaused(now time.Time, paused bool) {
-	r.change(func(s *snapshot) {
+	r.updateSnapshot(func(s *snapshot) {
 		if s.paused && !paused {
-			s.certain = now.Add(r.o.Grace)
+			s.graceEnd = now.Add(r.opts.Grace)
 			s.gen++
 		}
 		s.paused = paused
 	})
 }
 
-// shard returns the shard of a hash. The slot of package place is in the low
-// bits, and all records of this VM share its slots, so others are taken.
+// shard returns the shard of a hash. It uses other bits than the slot of
+// package place, which takes the low ones: all records of a VM share its
+// slots.
 func (r *Router) shard(h *baobabstep.KeyHash) *shard {
 	return r.shards[binary.LittleEndian.Uint64(h[8:])>>32&uint64(len(r.shards)-1)]
 }
 
-// bucket is a token bucket that holds one second's worth at most.
-type bucket struct {
+// tokenBucket is a rate limiter whose burst is one second of its rate.
+type tokenBucket struct {
 	mu     sync.Mutex
 	rate   float64
 	tokens float64
 	last   time.Time
 }
 
-func newBucket(rate float64, now time.Time) bucket {
-	return bucket{rate: rate, last: now}
+func newTokenBucket(rate float64, now time.Time) tokenBucket {
+	return tokenBucket{rate: rate, last: now}
 }
 
-// take takes n tokens, or none and returns false.
-func (b *bucket) take(now time.Time, n float64) bool {
+// take removes n tokens and reports true, or removes none and reports false.
+func (b *tokenBucket) take(now time.Time, n float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if passed := now.Sub(b.last); passed > 0 {
--- a/core/flow/flow_test.go
+++ b/core/flow/flow_test.go
@@ -10,7 +10,7 @@
 
 func TestFlowOpensCarriesDataAndCloses(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	for n := range 200 {
 		c := x.open(n)
 		x.assertAlive(c)
@@ -23,7 +23,7 @@
 				qt.Assert(t, e.State.String(), qt.Equals, "StateEstablished")
 			}
 		}
-		x.enter(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
+		x.receive(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
 		x.run()
 		for _, vm := range []baobabstep.VMID{o.Holder, o.Second} {
 			e, _ := x.routers[vm].Explain(c.key)
@@ -33,7 +33,7 @@
 		qt.Assert(t, holds, qt.IsFalse)
 	}
 	for _, chooser := range x.choosers {
-		for id, n := range chooser.count {
+		for id, n := range chooser.counts {
 			qt.Assert(t, n, qt.Equals, 0, qt.Commentf("target %x", id))
 		}
 	}
--- a/core/flow/handle.go
+++ b/core/flow/handle.go
@@ -8,8 +8,9 @@
 	"baobabstep/core/place"
 )
 
-// turn is the handling of one packet, with its shard locked.
-type turn struct {
+// task is the work on one flow, with its shard locked: handling a packet, or
+// the periodic work on a record.
+type task struct {
 	r    *Router
 	snap *snapshot
 	s    *shard
@@ -17,19 +18,19 @@
 	tick tick
 	hash baobabstep.KeyHash
 	p    *baobabstep.Packet
-	// rec is the record that work without a packet is about.
+	// rec is the record of a task without a packet.
 	rec *record
 	out *baobabstep.Outbox
 
-	own    place.Owners
-	gotOwn bool
+	cachedOwners place.Owners
+	ownersCached bool
 }
 
-// Handle decides what becomes of one packet of a flow and appends what has to
-// be sent. It does not allocate for a flow whose record the VM has.
+// Handle processes one packet of a flow and appends the packets to send to
+// out. It does not allocate if the VM has the flow's record.
 func (r *Router) Handle(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	snap := r.current.Load()
-	t := turn{r: r, snap: snap, now: now, tick: r.tick(now), p: p, out: out}
+	t := task{r: r, snap: snap, now: now, tick: r.tick(now), p: p, out: out}
 	if snap.config == nil || snap.view == nil {
 		r.shards[0].mu.Lock()
 		defer r.shards[0].mu.Unlock()
@@ -42,30 +43,31 @@
 	defer t.s.mu.Unlock()
 	switch p.Route.Purpose {
 	case baobabstep.PurposeReplicate:
-		t.replicate()
+		t.handleReplicate()
 	case baobabstep.PurposeLearn:
-		t.learn()
+		t.handleLearn()
 	case baobabstep.PurposeStored:
-		t.stored()
+		t.handleStored()
 	case baobabstep.PurposeForget:
-		t.forget()
+		t.handleForget()
 	default:
-		t.route()
+		t.routePacket()
 	}
 }
 
-func (t *turn) count(e Event) { t.s.events[e]++ }
+func (t *task) count(e Event) { t.s.events[e]++ }
 
-// broken reports a broken invariant.
-func (t *turn) broken(name, format string, args ...any) {
+// reportInvariant counts and reports a violated invariant.
+func (t *task) reportInvariant(name, format string, args ...any) {
 	t.count(EventInvariant)
-	if t.r.o.Invariant != nil {
-		t.r.o.Invariant(name, fmt.Sprintf("%v: ", t.flow())+fmt.Sprintf(format, args...))
+	if t.r.opts.Invariant != nil {
+		t.r.opts.Invariant(name, fmt.Sprintf("%v: ", t.flowKey())+fmt.Sprintf(format, args...))
 	}
 }
 
-// find returns the record, or nil. A search for the flow is no record.
-func (t *turn) find() *record {
+// findRecord returns the flow's record, or nil. StateSearching is not a
+// record.
+func (t *task) findRecord() *record {
 	rec := t.s.find(&t.hash)
 	if rec == nil || rec.state == StateSearching {
 		return nil
@@ -73,17 +75,18 @@
 	return rec
 }
 
-// owners returns the present owners of the packet's flow.
-func (t *turn) owners() place.Owners {
-	if !t.gotOwn {
-		t.own = t.snap.table.Owners(t.hash, t.dataCentres())
-		t.gotOwn = true
+// owners returns the current owners of the flow.
+func (t *task) owners() place.Owners {
+	if !t.ownersCached {
+		t.cachedOwners = t.snap.table.Owners(t.hash, t.dataCentres())
+		t.ownersCached = true
 	}
-	return t.own
+	return t.cachedOwners
 }
 
-// dataCentres returns those that may hold the flow; nil stands for all.
-func (t *turn) dataCentres() []string {
+// dataCentres returns the data centres whose VMs may own the flow; nil means
+// all.
+func (t *task) dataCentres() []string {
 	if t.rec != nil {
 		return t.r.reg.service(t.rec.service).dataCentres
 	}
@@ -94,79 +97,81 @@
 	return t.r.reg.service(i).dataCentres
 }
 
-func (t *turn) suspect(vm baobabstep.VMID) bool {
+func (t *task) isSuspect(vm baobabstep.VMID) bool {
 	return t.snap.states[vm] == baobabstep.VMSuspect
 }
 
-// route handles a packet from outside, or one that another VM passed on.
-func (t *turn) route() {
-	rec := t.find()
+// routePacket handles a packet from a caller or target, received directly or
+// forwarded by another VM.
+func (t *task) routePacket() {
+	rec := t.findRecord()
 	switch {
 	case t.routeProbeAck():
 	case t.snap.paused:
-		t.passOn()
+		t.relayWhilePaused()
 	case rec == nil:
-		t.unknown()
-	case rec.finished():
-		t.late(rec)
+		t.handleUnknown()
+	case rec.ended():
+		t.handleLatePacket(rec)
 	case t.p.FromTarget:
-		t.noteAsked(rec)
-		t.fromTarget(rec)
+		t.noteMissingCopy(rec)
+		t.handleTargetPacket(rec)
 	default:
-		t.noteAsked(rec)
-		t.fromCaller(rec)
+		t.noteMissingCopy(rec)
+		t.handleCallerPacket(rec)
 	}
 }
 
-// noteAsked takes back that the other owner has the record if the packet was
-// there and found none: it may have restarted.
-func (t *turn) noteAsked(rec *record) {
+// noteMissingCopy marks the other owner's copy as missing if the packet
+// visited that owner, which had no record: it may have restarted.
+func (t *task) noteMissingCopy(rec *record) {
 	if t.p.Route.NTried == 0 || !rec.has(flagCopied) {
 		return
 	}
-	if other := t.owners().Other(t.r.o.Self); t.tried(other) {
+	if other := t.owners().Other(t.r.opts.Self); t.tried(other) {
 		clearCopied(rec)
-		rec.clear(flagTried)
+		rec.clear(flagRepairSent)
 	}
 }
 
-// fromCaller handles a caller's packet of a flow in the table.
-func (t *turn) fromCaller(rec *record) {
+// handleCallerPacket handles a caller's packet for a flow in the table.
+func (t *task) handleCallerPacket(rec *record) {
 	switch t.p.Kind {
 	case baobabstep.KindOpen:
-		t.repeatedOpen(rec)
+		t.handleRepeatedOpen(rec)
 	case baobabstep.KindData, baobabstep.KindProbe:
 		if rec.state == StateOpening {
-			t.tooEarly(rec)
+			t.handleEarlyData(rec)
 			return
 		}
-		t.heardCaller(rec)
-		if !t.unproven(rec) {
-			t.inUse(rec)
+		t.noteCallerPacket(rec)
+		if !t.needsVerification(rec) {
+			t.markInUse(rec)
 		}
-		t.toTarget(rec)
+		t.sendToTarget(rec)
 	case baobabstep.KindProbeAck:
 		if t.ownProbe() {
 			t.noteAck(rec)
-			t.heardCaller(rec)
+			t.noteCallerPacket(rec)
 			return
 		}
-		t.toTarget(rec)
+		t.sendToTarget(rec)
 	case baobabstep.KindClose:
 		t.closeFlow(rec)
 	case baobabstep.KindReset:
-		t.toTarget(rec)
-		t.finish(rec, StateReset, t.p.Code)
+		t.sendToTarget(rec)
+		t.endFlow(rec, StateReset, t.p.Code)
 	default:
 		t.count(EventDroppedInvalid)
 	}
 }
 
-// tooEarly handles data of a flow that this VM still believes to be opening.
-// The caller heard of an acceptance that went by other VMs, and it may have
-// come from another target than the record's: data must not go there on a
-// guess. An owner that knows is asked, and if none does, the target is.
-func (t *turn) tooEarly(rec *record) {
+// handleEarlyData handles data for a record in StateOpening. The caller
+// received an acceptance that passed through other VMs and may come from
+// another target than the record's, so the data must not be sent to the
+// record's target. It is forwarded to the other owners; if none has an
+// established record, the record's target is probed.
+func (t *task) handleEarlyData(rec *record) {
 	if next := t.nextToAsk(); next != 0 && !t.p.Route.Exhausted {
 		t.forward(next)
 		return
@@ -177,45 +182,45 @@
 	}
 }
 
-// fromTarget handles a target's packet of a flow in the table.
-func (t *turn) fromTarget(rec *record) {
+// handleTargetPacket handles a target's packet for a flow in the table.
+func (t *task) handleTargetPacket(rec *record) {
 	tg := t.r.reg.target(rec.target)
-	t.evaluate(rec)
+	t.refreshRole(rec)
 	switch {
-	case t.outsider(rec) && t.mayForward():
-		t.pass(t.owners().Holder)
+	case t.mayBeSuperseded(rec) && t.mayAskHolder():
+		t.relay(t.owners().Holder)
 		return
 	case t.p.Target != tg.id || t.p.Service != tg.service:
-		t.wrongTarget(rec)
+		t.handleWrongTarget(rec)
 		return
 	}
-	if heard := tg.heard.Load(); heard != t.tick {
-		tg.heard.Store(t.tick)
+	if heard := tg.lastPacket.Load(); heard != t.tick {
+		tg.lastPacket.Store(t.tick)
 	}
 	switch t.p.Kind {
 	case baobabstep.KindOpened, baobabstep.KindData, baobabstep.KindProbe:
-		t.heardTarget(rec)
-		t.toCaller(rec)
+		t.noteTargetPacket(rec)
+		t.sendToCaller(rec)
 	case baobabstep.KindProbeAck:
 		if t.ownProbe() {
 			t.noteAck(rec)
-			t.heardTarget(rec)
+			t.noteTargetPacket(rec)
 			return
 		}
-		t.toCaller(rec)
+		t.sendToCaller(rec)
 	case baobabstep.KindClose:
 		t.closeFlow(rec)
 	case baobabstep.KindReset:
-		t.resetByTarget(rec)
+		t.handleTargetReset(rec)
 	default:
 		t.count(EventDroppedInvalid)
 	}
 }
 
-// heardCaller notes a sign of life from the caller. It does not tell which
-// target the caller believes to use.
-func (t *turn) heardCaller(rec *record) {
-	rec.fromCaller = t.tick
+// noteCallerPacket records that the caller is alive. The packet does not show
+// which target the caller uses.
+func (t *task) noteCallerPacket(rec *record) {
+	rec.lastFromCaller = t.tick
 	rec.setProbes(toCaller, 0)
 	if t.r.callersHeard.Load() != t.tick {
 		t.r.callersHeard.Store(t.tick)
@@ -224,149 +229,152 @@
 		return
 	}
 	if !rec.has(flagConfirmed) {
-		t.s.enter(rec, StateEstablished, confirm)
+		t.s.setState(rec, StateEstablished, confirm)
 	}
-	if rec.has(flagVia) && t.calm() {
-		// The acceptance has reached the caller, and the copy before it.
-		rec.clear(flagVia)
+	if rec.has(flagViaOwner) && t.viewStable() {
+		// The acceptance reached the caller, and so the record reached
+		// the other owner.
+		rec.clear(flagViaOwner)
 		t.setCopied(rec)
 	}
 }
 
-// calm tells whether this VM's view of the fleet has been certain for a while,
-// so that no other VM can have opened its flows anew.
-func (t *turn) calm() bool {
-	return !t.unsure() && t.now.Sub(t.snap.changed) >= t.r.o.Grace
+// viewStable reports whether this VM's view has been certain for
+// Options.Grace, so that no other VM can have opened its flows again.
+func (t *task) viewStable() bool {
+	return !t.mayBeIsolated() && t.now.Sub(t.snap.changedAt) >= t.r.opts.Grace
 }
 
-// inUse notes that the caller's data goes to the record's target. The
-// acceptance came to the caller by way of the other owner, so that copy is
-// proven as well.
-func (t *turn) inUse(rec *record) {
+// markInUse records that the caller sends data to the record's target. If the
+// acceptance passed through the other owner, this proves that owner's copy
+// too.
+func (t *task) markInUse(rec *record) {
 	rec.detail = detailInUse
-	if rec.has(flagVia) {
-		rec.clear(flagVia)
+	if rec.has(flagViaOwner) {
+		rec.clear(flagViaOwner)
 		t.setCopied(rec)
 	}
 }
 
-// provenFor is the time after the target was heard in which the caller's first
-// data can only belong to the acceptance that this VM passed on.
-const provenFor = 2 * time.Second
-
-// doubtFor is how long the other owner is waited for.
-const doubtFor = 3 * time.Second
-
-// unproven tells whether an accepted flow may be one that the caller knows
-// nothing of. The acceptance may have been lost, others may have opened the
-// flow anew while this VM was paused or cut off, and the caller uses theirs.
-// Its data, sent to this record's target, would be split between two. So while
-// in doubt it goes by way of the other owner, who knows if there is another
-// record, and whose confirmation ends the doubt. An owner that stays silent
-// past doubtFor is dead, and its record with it.
-func (t *turn) unproven(rec *record) bool {
-	t.evaluate(rec)
+// maxAcceptanceAge is how long after the target's last packet the caller's
+// first data can only belong to the acceptance that this VM forwarded.
+const maxAcceptanceAge = 2 * time.Second
+
+// verifyTimeout is how long to wait for the other owner's confirmation.
+const verifyTimeout = 3 * time.Second
+
+// needsVerification reports whether the caller may use another record of this
+// established flow. The acceptance may have been lost, or other VMs may have
+// opened the flow again while this VM was paused or partitioned. Data sent to
+// this record's target would then be split between two targets. So it is sent
+// through the other owner, which has any conflicting record and otherwise
+// confirms this one. An owner that does not answer within verifyTimeout is
+// taken for dead, and its record for lost.
+func (t *task) needsVerification(rec *record) bool {
+	t.refreshRole(rec)
 	switch {
 	case rec.state != StateEstablished || rec.has(flagCopied) || t.otherOwner() == 0:
 		return false
-	case rec.detail == detailInUse || rec.detail == detailNoDoubt:
+	case rec.detail == detailInUse || rec.detail == detailVerifyTimeout:
 		return false
-	case rec.detail == detailDoubt:
-		return !t.endDoubt(rec)
+	case rec.detail == detailVerifying:
+		return !t.verifyTimedOut(rec)
 	}
 	owner := rec.has(flagHolder) || rec.has(flagSecond)
-	return !owner || !t.calm() || since(t.tick, rec.fromTarget) > ticks(provenFor)
+	return !owner || !t.viewStable() || since(t.tick, rec.lastFromTarget) > ticks(maxAcceptanceAge)
 }
 
-// endDoubt ends the doubt if it lasted long enough, and tells so.
-func (t *turn) endDoubt(rec *record) bool {
-	if since16(t.tick, rec.lastRepair) <= ticks(doubtFor) {
+// verifyTimedOut ends the verification if it has lasted longer than
+// verifyTimeout, and reports whether it did.
+func (t *task) verifyTimedOut(rec *record) bool {
+	if since16(t.tick, rec.lastRepair) <= ticks(verifyTimeout) {
 		return false
 	}
-	rec.detail = detailNoDoubt
+	rec.detail = detailVerifyTimeout
 	return true
 }
 
-// confirm marks a flow whose caller is known to be there.
+// confirm marks a flow whose caller has answered.
 func confirm(rec *record) { rec.set(flagConfirmed) }
 
-// heardTarget notes a sign of life from the target. The first one is its word
-// that it holds the flow.
-func (t *turn) heardTarget(rec *record) {
-	rec.fromTarget = t.tick
+// noteTargetPacket records that the target is alive. The first such packet
+// shows that the target accepted the flow.
+func (t *task) noteTargetPacket(rec *record) {
+	rec.lastFromTarget = t.tick
 	rec.setProbes(toTarget, 0)
 	if rec.state == StateOpening {
 		t.establish(rec)
 	}
 }
 
-// wrongTarget handles a packet from a target other than the record's.
+// handleWrongTarget handles a packet from a target other than the record's.
 //
-// If the record is still opening, the sender's word that it holds the flow is
-// worth more: another VM chose it, and the caller may already use it. If the
-// record is established, the sender holds a flow that lost against it, or that
-// ended before its key was used again. Its packet must not reach the caller,
-// who would take it for the present flow. It gets a reset only if the caller is
-// known to use this record: otherwise this one may be the one that lost.
-func (t *turn) wrongTarget(rec *record) {
+// If the record is still opening and the sender claims the flow, the record
+// switches to the sender: another VM chose it, and the caller may already use
+// it. If the record is established, the sender's flow lost a conflict or ended
+// before its key was reused. Its packet must not reach the caller, who would
+// take it for part of the current flow. The sender gets a reset only if the
+// caller is known to use this record; otherwise this record may be the one
+// that lost.
+func (t *task) handleWrongTarget(rec *record) {
 	claims := t.p.Kind == baobabstep.KindOpened || t.p.Kind == baobabstep.KindData
-	next, valid := t.vouched()
+	next, valid := t.sourceTarget()
 	if valid && t.p.Code == baobabstep.CodeUnknownFlow {
-		// The answer of a neighbour that was asked to show the path.
-		t.r.reg.target(next).acked.Store(t.tick)
+		// This answers probeNeighbour.
+		t.r.reg.target(next).lastAck.Store(t.tick)
 	}
 	switch {
 	case claims && valid && rec.state == StateOpening:
 		t.count(EventConflict)
 		t.resetTarget(rec, baobabstep.CodeUnknownFlow)
-		t.setTarget(rec, next)
+		t.changeTarget(rec, next)
 		rec.version = clampVersion(t.p.Version)
-		t.heardTarget(rec)
-		t.toCaller(rec)
-	case !rec.has(flagHolder) && t.mayForward():
-		t.pass(t.owners().Holder)
+		t.noteTargetPacket(rec)
+		t.sendToCaller(rec)
+	case !rec.has(flagHolder) && t.mayAskHolder():
+		t.relay(t.owners().Holder)
 	case rec.detail == detailInUse:
 		t.count(EventDroppedWrongTarget)
-		t.refuseTarget()
+		t.resetSender()
 	default:
 		t.count(EventDroppedWrongTarget)
 	}
 }
 
-// outsider tells whether the VM has a record that the owners may have replaced
-// without its knowledge: it is no owner, and the caller is not known to use the
-// flow, so that another record may have won.
-func (t *turn) outsider(rec *record) bool {
+// mayBeSuperseded reports whether the owners may have replaced this VM's
+// record unnoticed: this VM is not an owner, and the caller is not known to
+// use the record.
+func (t *task) mayBeSuperseded(rec *record) bool {
 	return !rec.has(flagHolder) && !rec.has(flagSecond) && rec.detail != detailInUse
 }
 
-// mayForward tells whether the holder may still be asked about the packet.
-func (t *turn) mayForward() bool {
+// mayAskHolder reports whether the packet can be forwarded to the holder.
+func (t *task) mayAskHolder() bool {
 	holder := t.owners().Holder
-	return t.p.Route.Purpose == baobabstep.PurposeNone && holder != 0 && holder != t.r.o.Self && !t.suspect(holder)
+	return t.p.Route.Purpose == baobabstep.PurposeNone && holder != 0 && holder != t.r.opts.Self && !t.isSuspect(holder)
 }
 
-// late handles a packet of a flow that has ended.
-func (t *turn) late(rec *record) {
-	same := t.p.Target == t.r.reg.target(rec.target).id
-	again := t.p.Kind == baobabstep.KindClose && rec.state == StateClosed
+// handleLatePacket handles a packet of a flow that has ended.
+func (t *task) handleLatePacket(rec *record) {
+	sameTarget := t.p.Target == t.r.reg.target(rec.target).id
+	repeatedClose := t.p.Kind == baobabstep.KindClose && rec.state == StateClosed
 	switch {
-	case again && t.p.FromTarget && same:
-		t.toCaller(rec)
-	case again && !t.p.FromTarget:
-		t.toTarget(rec)
+	case repeatedClose && t.p.FromTarget && sameTarget:
+		t.sendToCaller(rec)
+	case repeatedClose && !t.p.FromTarget:
+		t.sendToTarget(rec)
 	case t.p.FromTarget:
 		t.count(EventDroppedLate)
-		t.refuseTarget()
+		t.resetSender()
 	case t.p.Kind == baobabstep.KindClose || t.p.Kind == baobabstep.KindReset:
 		t.count(EventDroppedLate)
 	default:
 		t.count(EventDroppedLate)
-		t.refuseCaller(rec.resetCode(), 0)
+		t.resetCaller(rec.resetCode(), 0)
 	}
 }
 
-// resetCode is what a late packet's sender is told.
+// resetCode returns the reset code for senders of late packets.
 func (rec *record) resetCode() baobabstep.Code {
 	if rec.state == StateReset && rec.detail != 0 {
 		return baobabstep.Code(rec.detail) + codeBase
@@ -374,25 +382,25 @@
 	return baobabstep.CodeUnknownFlow
 }
 
-// finish turns a record into a mark against late packets, and tells the other
-// owner. What it says must already be in the outbox.
-func (t *turn) finish(rec *record, state State, code baobabstep.Code) {
+// endFlow ends the flow and notifies the other owner. It keeps the record for
+// late packets. Packets that report the end must already be in the outbox.
+func (t *task) endFlow(rec *record, state State, code baobabstep.Code) {
 	if state == StateClosed {
 		t.count(EventClosed)
 	} else {
 		t.count(EventReset)
 	}
-	t.end(rec, state, code)
-	t.tellOwners(baobabstep.PurposeForget, rec)
+	t.setEnded(rec, state, code)
+	t.notifyOwners(baobabstep.PurposeForget, rec)
 }
 
-// end is finish without telling anyone.
-func (t *turn) end(rec *record, state State, code baobabstep.Code) {
-	t.uncount(rec)
-	t.s.enter(rec, state, nil)
-	rec.fromCaller, rec.fromTarget = t.tick, t.tick
+// setEnded is endFlow without the notification.
+func (t *task) setEnded(rec *record, state State, code baobabstep.Code) {
+	t.uncountFlow(rec)
+	t.s.setState(rec, state, nil)
+	rec.lastFromCaller, rec.lastFromTarget = t.tick, t.tick
 	rec.detail = 0
-	rec.clear(flagVia)
+	rec.clear(flagViaOwner)
 	if code > codeBase && code < codeBase+100 {
 		rec.detail = uint8(code - codeBase)
 	}
--- a/core/flow/live_test.go
+++ b/core/flow/live_test.go
@@ -9,16 +9,16 @@
 	"baobabstep"
 )
 
-func openMany(x *exchange, n int) (flows []*fakeCaller) {
+func openMany(x *testNetwork, n int) (flows []*fakeCaller) {
 	for i := range n {
 		flows = append(flows, x.open(i))
 	}
 	return flows
 }
 
-// Something between the ends lost track of a flow while new ones work: the
-// caller waits for news that never comes. The silent end answers no probe,
-// so both ends get a reset within half a minute, and the caller reconnects.
+// A component on the path loses track of one flow while others work, and its
+// caller would wait forever. The silent end answers no probe, so both ends
+// must get a reset within 40 s, and the caller can reconnect.
 func TestSilentFlowIsReset(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -38,25 +38,25 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+			x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 			flows := openMany(x, 60)
 			x.advance(time.Minute)
 			x.lose = test.lose(flows[7])
 			x.advance(40 * time.Second)
 			x.lose = nil
 			qt.Assert(t, flows[7].reset, qt.Equals, baobabstep.CodeFlowSilent)
-			x.assertNobodyHolds(flows[7])
+			x.assertNoTargetHolds(flows[7])
 			x.assertAlive(flows[:7]...)
 		})
 	}
 }
 
-// A target forgets one flow of many without a word while its caller goes on
-// sending every 2 s. The caller gets no answer and would give up by itself after
-// some 8 s. The holder sees that the target owes an answer, probes it every
-// second, and resets the flow before that; flows beside it are not touched.
+// A target silently loses one flow of many while its caller sends every 2 s
+// and would time out after about 8 s. The holder must see that the target owes
+// an answer, probe it every second and reset the flow before that timeout;
+// other flows must not be affected.
 func TestForgottenFlowInUseIsResetWithinSeconds(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	flows := openMany(x, 60)
 	x.advance(time.Minute)
 	forgotten := flows[7]
@@ -65,7 +65,7 @@
 	}
 	for range 4 {
 		for _, c := range flows {
-			x.say(c, "still there?", 0)
+			x.sendData(c, "still there?", 0)
 		}
 		x.advance(2 * time.Second)
 	}
@@ -75,12 +75,12 @@
 	x.assertAlive(flows[8:]...)
 }
 
-// Flows that nobody uses stay open, since both ends answer probes. Their copies
-// are made once at most: answers to probes pass the second copy, and the holder
-// must not take that for a sign that the copy is gone.
-func TestQuietFlowsAreNeverCut(t *testing.T) {
+// Idle flows stay open, since both ends answer probes. Each is replicated once
+// at most: probe acknowledgements enter at the second copy, and the holder
+// must not take that for a missing copy.
+func TestIdleFlowsStayOpen(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	flows := openMany(x, 20)
 	x.advance(4 * time.Minute)
 	for _, c := range flows {
@@ -90,23 +90,23 @@
 	x.assertAlive(flows...)
 }
 
-// A VM is cut off from targets or callers for minutes and sees all of its
-// flows silent at once. They are healthy: other VMs still carry them. Resets
-// from the VM that is cut off would break them all.
-func TestVMThatIsCutOffResetsNothing(t *testing.T) {
+// A VM is disconnected from targets or callers for minutes, and all of its
+// flows look silent at once. They are healthy, since other VMs carry them, so
+// it must reset none.
+func TestIsolatedVMResetsNoFlows(t *testing.T) {
 	t.Parallel()
 	for _, dest := range []baobabstep.Dest{baobabstep.DestTarget, baobabstep.DestCaller} {
 		t.Run(dest.String(), func(t *testing.T) {
-			x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+			x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 			flows := openMany(x, 60)
 			x.advance(time.Minute)
 			alone := x.owners(flows[0].key, x.vms).Holder
 			x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
 				return from == alone && s.Dest == dest && s.Packet.Kind == baobabstep.KindProbe
 			}
-			x.deaf = map[baobabstep.VMID]bool{alone: true}
+			x.noInput = map[baobabstep.VMID]bool{alone: true}
 			x.advance(3 * time.Minute)
-			x.lose, x.deaf = nil, nil
+			x.lose, x.noInput = nil, nil
 			qt.Assert(t, x.events("flow_silent_held") > 0, qt.IsTrue)
 			x.advance(time.Minute)
 			x.assertAlive(flows...)
@@ -114,11 +114,12 @@
 	}
 }
 
-// All targets of a data centre fall silent at once: a partition, not so many
-// deaths. Their flows wait and go on when it is over.
-func TestSilentDataCentreIsHeldBack(t *testing.T) {
+// All targets of a data centre fall silent at once, which suggests a
+// partition. The flows must be kept and continue when the targets answer
+// again.
+func TestSilentDataCentreResetsNoFlows(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	flows := openMany(x, 60)
 	x.advance(time.Minute)
 	for _, tg := range x.targets {
@@ -133,10 +134,11 @@
 	x.assertAlive(flows...)
 }
 
-// One target dies while its neighbours live on. Its flows end within a minute.
+// One target dies while its neighbours are alive. Its flows must end within 90
+// s.
 func TestFlowsOfADeadTargetEnd(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	flows := openMany(x, 60)
 	x.advance(time.Minute)
 	dead := flows[0].opened
@@ -151,30 +153,31 @@
 	}
 }
 
-// Callers open flow after flow and never answer. They must not push out the
-// flows of others. If it is one caller, others still open at once; if they are
-// many, others open as soon as the silent ones were probed.
+// Callers open many flows and never answer. They must not displace established
+// flows. Others must be able to open flows: at once if the flood comes from
+// one caller, or as soon as the silent callers were probed if it comes from
+// many.
 func TestOpenFlood(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name string
-		key  func(x *exchange, n int) baobabstep.FlowKey
+		key  func(x *testNetwork, n int) baobabstep.FlowKey
 		wait time.Duration
 	}{
-		{"one caller", func(x *exchange, n int) baobabstep.FlowKey {
+		{"one caller", func(x *testNetwork, n int) baobabstep.FlowKey {
 			key := x.key(9)
 			key.Number = uint64(n)
 			return key
 		}, 0},
-		{"many callers", (*exchange).key, 6 * time.Second},
+		{"many callers", (*testNetwork).key, 6 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := newExchange(t, fleet{vms: 3, dcs: 1, targets: 6})
+			x := newTestNetwork(t, fleet{vms: 3, dcs: 1, targets: 6})
 			flows := openMany(x, 50)
 			x.assertAlive(flows...)
 			for n := 1000; n < 6000; n++ {
-				x.enter(0, baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: test.key(x, n)})
+				x.receive(0, baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: test.key(x, n)})
 				x.run()
 			}
 			qt.Assert(t, x.events("half_open_limit") > 0, qt.IsTrue)
@@ -184,19 +187,19 @@
 			}
 			x.advance(test.wait)
 			for n := range 40 {
-				honest := x.sendOpen(100+n, 0)
-				qt.Assert(t, honest.reset, qt.Equals, baobabstep.CodeOK)
-				x.assertAlive(honest)
+				legitimate := x.sendOpen(100+n, 0)
+				qt.Assert(t, legitimate.reset, qt.Equals, baobabstep.CodeOK)
+				x.assertAlive(legitimate)
 			}
 			x.assertAlive(flows...)
 		})
 	}
 }
 
-// The targets refuse an open one after the other. The caller hears of it only
-// when the tries run out, and then when to come back.
+// Several targets refuse an open one after the other. The caller must be
+// refused only when the attempts run out, with a RetryAfter.
 func TestRefusedOpenIsTriedElsewhere(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 4})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 4})
 	ids := x.config.Services[0].Targets
 	x.targets[ids[0].ID].refuse = baobabstep.CodeNoCapacity
 	x.targets[ids[1].ID].refuse = baobabstep.CodeTargetLeaving
@@ -219,18 +222,18 @@
 	for id, tg := range x.targets {
 		total := 0
 		for _, chooser := range x.choosers {
-			total += chooser.count[id]
+			total += chooser.counts[id]
 		}
 		qt.Assert(t, total, qt.Equals, len(tg.flows))
 	}
 }
 
-// Another data centre is out of reach for an hour. A caller that is heard only
-// there looks silent from here and must not be reset; a flow that its target
-// here forgot is dead on either side and must end within seconds.
+// A partition lasts for a minute. A caller whose packets arrive only on the
+// other side looks silent and must not be reset; a flow that a target on this
+// side lost must be reset within a minute.
 func TestSilenceDuringAPartition(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	flows := openMany(x, 60)
 	x.advance(time.Minute)
 	for _, vm := range x.vms {
--- a/core/flow/open.go
+++ b/core/flow/open.go
@@ -6,12 +6,11 @@
 	"baobabstep"
 )
 
-// retryOpen is what a refused caller is told to wait.
-const retryOpen = time.Second
+// openRetryAfter is the RetryAfter of refused opens.
+const openRetryAfter = time.Second
 
-// open creates a flow. The VM decides as holder, or stands in for one that is
-// suspected.
-func (t *turn) open() {
+// openFlow creates a flow, as the holder or in place of a suspected holder.
+func (t *task) openFlow() {
 	config := t.snap.config.ServiceAt(t.p.Flow.Service)
 	if config == nil {
 		t.refuseOpen(baobabstep.CodeNoTarget)
@@ -26,31 +25,31 @@
 		t.refuseOpen(baobabstep.CodeTableFull)
 		return
 	}
-	tg, code := t.pick(config)
+	tg, code := t.pickTarget(config)
 	if code != baobabstep.CodeOK {
 		t.refuseOpen(code)
 		return
 	}
-	t.forgetSearch()
-	rec := t.create(sv, StateOpening, 0)
-	t.aim(rec, tg, true)
+	t.dropSearch()
+	rec := t.createRecord(sv, StateOpening, 0)
+	t.assignTarget(rec, tg, true)
 	rec.version = clampVersion(t.snap.config.Version)
 	rec.setAttempt(1)
-	t.evaluate(rec)
+	t.refreshRole(rec)
 	t.count(EventOpened)
-	t.toTarget(rec)
+	t.sendToTarget(rec)
 }
 
-func (t *turn) refuseOpen(code baobabstep.Code) {
+func (t *task) refuseOpen(code baobabstep.Code) {
 	t.count(EventOpenRefused)
-	t.refuseCaller(code, retryOpen)
+	t.resetCaller(code, openRetryAfter)
 }
 
-// pick asks the Chooser for a target that may take new work of the service. The
-// Chooser may have heard of a drain later than this VM's configuration.
-func (t *turn) pick(config *baobabstep.Service) (uint32, baobabstep.Code) {
+// pickTarget asks the Chooser for a target that accepts new flows of the
+// service. The Chooser may learn of a drain later than the configuration does.
+func (t *task) pickTarget(config *baobabstep.Service) (uint32, baobabstep.Code) {
 	for range maxAttempts {
-		id, code := t.r.o.Chooser.PickFlow(t.now, config, t.r.o.DataCentre, t.s.random.Uint64())
+		id, code := t.r.opts.Chooser.PickFlow(t.now, config, t.r.opts.DataCentre, t.s.random.Uint64())
 		if code != baobabstep.CodeOK {
 			return 0, code
 		}
@@ -64,67 +63,68 @@
 		} else {
 			t.count(EventQuarantined)
 		}
-		t.r.o.Chooser.FlowClosed(t.now, id)
+		t.r.opts.Chooser.FlowClosed(t.now, id)
 	}
 	return 0, baobabstep.CodeNoTarget
 }
 
-// mayOpenTo refuses addresses that recently belonged to another service. A VM
-// that acts on an older version may still send that service's packets there,
-// and the target could not tell a stranger's flow from its own.
-func (t *turn) mayOpenTo(tg *target) bool {
+// mayOpenTo rejects addresses that recently belonged to another service. A VM
+// with an older configuration may still send that service's packets there, and
+// the target could not tell them from its own.
+func (t *task) mayOpenTo(tg *target) bool {
 	for i := range t.snap.config.Quarantine {
 		q := &t.snap.config.Quarantine[i]
 		if q.Address == tg.address && q.Service != tg.service {
 			return false
 		}
 	}
-	return !tg.taken.Load()
+	return !tg.addressTaken.Load()
 }
 
-// roomForOpen keeps a caller that only opens from pushing out established
-// flows: half-open ones have a share of each shard, and when that is used up
-// the shard's next half-open flow that had its time makes room.
-func (t *turn) roomForOpen() bool {
-	if t.s.used >= max(1, t.r.o.MaxFlows/len(t.r.shards)) {
+// roomForOpen reports whether the table can take another half-open flow, and
+// evicts one if necessary. Half-open flows may use a fixed share of each
+// shard, so that a flood of opens cannot displace established flows.
+func (t *task) roomForOpen() bool {
+	if t.s.used >= max(1, t.r.opts.MaxFlows/len(t.r.shards)) {
 		t.count(EventHalfOpenLimit)
 		return false
 	}
 	caller := t.p.Flow.Caller.Addr().As16()
-	if int(t.r.callers.of(&caller).Load()) >= t.r.o.MaxHalfOpenPerCaller {
+	if int(t.r.callers.counter(&caller).Load()) >= t.r.opts.MaxHalfOpenPerCaller {
 		t.count(EventHalfOpenLimit)
 		return false
 	}
-	if t.s.half < t.r.halfOpenShare() || t.evictHalfOpen() {
+	if t.s.halfOpenCount < t.r.halfOpenShare() || t.evictHalfOpen() {
 		return true
 	}
 	t.count(EventHalfOpenLimit)
 	return false
 }
 
-// halfOpenShare is the number of half-open flows that one shard may hold.
-func (r *Router) halfOpenShare() int { return max(1, r.o.MaxHalfOpen/len(r.shards)) }
+// halfOpenShare returns the maximum of half-open flows per shard.
+func (r *Router) halfOpenShare() int { return max(1, r.opts.MaxHalfOpen/len(r.shards)) }
 
-// evictTries bounds the positions looked at for one eviction. They are random:
-// flows that opened together stand together, and neighbours of a miss are
-// misses.
+// evictTries bounds the positions examined for one eviction. They are chosen
+// at random: flows opened together are stored together, so neighbours of a
+// record that cannot be evicted usually cannot be either.
 const evictTries = 64
 
-// evictAge is how long a half-open flow is safe from eviction. An honest
-// caller answers within a round trip.
+// evictAge is the age below which a half-open flow is not evicted. A
+// legitimate caller answers within a round trip.
 const evictAge = time.Second
 
-// unansweredAge is the age from which a flow whose caller was probed may be
-// evicted. Under pressure the probe goes out after evictAge and at most one
-// pass of the scan; this leaves the caller two seconds to answer.
-const unansweredAge = evictAge + passTicks*tickLength + 2*time.Second
+// unansweredAge is the time since the caller's last packet after which a
+// probed half-open flow may be evicted. While half-open flows are near their
+// limit, the probe is sent at most one scan after evictAge, which leaves the
+// caller two seconds to answer.
+const unansweredAge = evictAge + scanTicks*tickLength + 2*time.Second
 
-// evictHalfOpen removes a half-open flow that is older than evictAge. A target
-// that had accepted it is told.
-func (t *turn) evictHalfOpen() bool {
+// evictHalfOpen removes an evictable half-open flow. A target that had
+// accepted it gets a reset.
+func (t *task) evictHalfOpen() bool {
 	size := t.s.size()
 	for range evictTries {
-		rec := t.s.at(t.s.random.Uint32N(size))
+		rec := t.s.recordAt(t.s.random.Uint32N(size))
 		if !t.evictable(rec) {
 			continue
 		}
@@ -132,26 +132,26 @@
 		if rec.state == StateEstablished {
 			t.resetOther(rec, baobabstep.CodeTableFull)
 		}
-		t.drop(rec)
+		t.dropRecord(rec)
 		return true
 	}
 	return false
 }
 
-// evictable tells whether a half-open flow may make room: its target did not
-// accept it in time, or its caller did not answer a probe.
-func (t *turn) evictable(rec *record) bool {
+// evictable reports whether a half-open flow may be evicted: its target did
+// not accept it in time, or its caller did not answer a probe.
+func (t *task) evictable(rec *record) bool {
 	if !rec.halfOpen() {
 		return false
 	}
 	if rec.state == StateEstablished {
-		return rec.countProbes(toCaller) > 0 && since(t.tick, rec.fromCaller) >= ticks(unansweredAge)
+		return rec.countProbes(toCaller) > 0 && since(t.tick, rec.lastFromCaller) >= ticks(unansweredAge)
 	}
-	return since(t.tick, rec.fromCaller) >= ticks(evictAge)
+	return since(t.tick, rec.lastFromCaller) >= ticks(evictAge)
 }
 
 // resetOther resets the target of a record that is not the packet's.
-func (t *turn) resetOther(rec *record, code baobabstep.Code) {
+func (t *task) resetOther(rec *record, code baobabstep.Code) {
 	first := len(*t.out)
 	t.resetTarget(rec, code)
 	if len(*t.out) > first {
@@ -159,7 +159,7 @@
 	}
 }
 
-// key rebuilds the key of a record.
+// key returns the flow key of a record.
 func (r *Router) key(rec *record) baobabstep.FlowKey {
 	return baobabstep.FlowKey{
 		Caller:  rec.callerAddress(),
@@ -168,37 +168,36 @@
 	}
 }
 
-// create adds a record without a target.
-func (t *turn) create(sv uint32, state State, age time.Duration) *record {
+// createRecord adds a record without a target.
+func (t *task) createRecord(sv uint32, state State, age time.Duration) *record {
 	rec := t.s.insert(&t.hash)
 	rec.setKey(t.p.Flow)
 	t.s.counts[StateFree]++
-	t.s.enter(rec, state, nil)
+	t.s.setState(rec, state, nil)
 	rec.service = sv
 	rec.target = noTarget
 	rec.opened = int32(t.tick) - int32(min(age/tickLength, 1<<30))
-	rec.fromCaller, rec.fromTarget = t.tick, t.tick
+	rec.lastFromCaller, rec.lastFromTarget = t.tick, t.tick
 	rec.gen = t.snap.gen - 1
 	return rec
 }
 
-// noTarget marks a record without a target.
 const noTarget = ^uint32(0)
 
-// drop removes a record altogether.
-func (t *turn) drop(rec *record) {
-	t.uncount(rec)
+// dropRecord removes a record from the table.
+func (t *task) dropRecord(rec *record) {
+	t.uncountFlow(rec)
 	if rec.target != noTarget {
 		t.r.reg.target(rec.target).flows.Add(-1)
 	}
-	t.s.enter(rec, StateFree, nil)
+	t.s.setState(rec, StateFree, nil)
 	t.s.counts[StateFree]--
 	t.s.remove(rec)
 }
 
-// aim points a record at a target. counted tells that the Chooser has already
-// counted the flow.
-func (t *turn) aim(rec *record, tg uint32, counted bool) {
+// assignTarget sets a record's target. counted is set if the Chooser has
+// already counted the flow.
+func (t *task) assignTarget(rec *record, tg uint32, counted bool) {
 	if rec.target != noTarget {
 		t.r.reg.target(rec.target).flows.Add(-1)
 	}
@@ -209,121 +208,124 @@
 	}
 }
 
-// setTarget moves a record to another target and the Chooser's count with it.
-func (t *turn) setTarget(rec *record, tg uint32) {
+// changeTarget moves a record, and the Chooser's count, to another target.
+func (t *task) changeTarget(rec *record, tg uint32) {
 	if rec.state == StateEstablished && rec.detail == detailInUse {
-		t.broken("I1", "flow in use moves from target %x", t.r.reg.target(rec.target).id)
+		t.reportInvariant("I1", "target of an in-use flow changes from %x", t.r.reg.target(rec.target).id)
 	}
 	counted := rec.has(flagCounted)
-	t.uncount(rec)
-	t.aim(rec, tg, false)
+	t.uncountFlow(rec)
+	t.assignTarget(rec, tg, false)
 	if counted {
-		t.recount(rec)
+		t.countFlow(rec)
 	}
 }
 
-// recount has the Chooser count the flow. Only the holder counts, so that a
-// flow is counted once in the fleet.
-func (t *turn) recount(rec *record) {
+// countFlow adds the flow to the Chooser's count. Only the holder counts, so
+// each flow is counted once in the fleet.
+func (t *task) countFlow(rec *record) {
 	if !rec.has(flagCounted) && rec.live() {
 		rec.set(flagCounted)
-		t.r.o.Chooser.FlowOpened(t.now, t.r.reg.target(rec.target).id)
+		t.r.opts.Chooser.FlowOpened(t.now, t.r.reg.target(rec.target).id)
 	}
 }
 
-func (t *turn) uncount(rec *record) {
+func (t *task) uncountFlow(rec *record) {
 	if rec.has(flagCounted) {
 		rec.clear(flagCounted)
-		t.r.o.Chooser.FlowClosed(t.now, t.r.reg.target(rec.target).id)
+		t.r.opts.Chooser.FlowClosed(t.now, t.r.reg.target(rec.target).id)
 	}
 }
 
-// establish notes that the target accepted the flow. The other owner has to
-// learn of it, so the packet goes that way.
-func (t *turn) establish(rec *record) {
+// establish records that the target accepted the flow. It marks the other
+// owner's copy as outdated, so the packet is sent through that owner.
+func (t *task) establish(rec *record) {
 	t.count(EventEstablished)
-	t.evaluate(rec)
-	t.s.enter(rec, StateEstablished, nil)
+	t.refreshRole(rec)
+	t.s.setState(rec, StateEstablished, nil)
 	if !rec.has(flagHolder) {
-		// Only the holder waits for the caller; another VM may never
-		// see a packet of it.
-		t.s.enter(rec, StateEstablished, confirm)
+		// Only the holder waits for the caller's confirmation: other
+		// VMs may never receive its packets.
+		t.s.setState(rec, StateEstablished, confirm)
 	}
 	clearCopied(rec)
-	rec.clear(flagTried)
+	rec.clear(flagRepairSent)
 }
 
-// repeatedOpen handles an open whose record exists: the caller has not heard
-// that its flow was accepted. Something on the way of the second copy may have
-// died, so this one goes straight, and the copy is sent beside it.
-func (t *turn) repeatedOpen(rec *record) {
+// handleRepeatedOpen handles an open of a flow that has a record: the caller
+// did not receive the acceptance. A VM on the path through the second copy may
+// be dead, so this open goes straight to the target, and the record is sent
+// separately.
+func (t *task) handleRepeatedOpen(rec *record) {
 	t.count(EventOpenRepeated)
 	if rec.state == StateEstablished {
-		rec.clear(flagVia)
+		rec.clear(flagViaOwner)
 	}
-	t.evaluate(rec)
+	t.refreshRole(rec)
 	other := t.otherOwner()
 	if other != 0 && !rec.has(flagCopied) && t.repairDue(rec) {
-		t.teach(other, rec)
+		t.sendRecord(other, rec)
 	}
 	rec.lastRepair = uint16(t.tick)
-	rec.set(flagTried)
-	t.toTarget(rec)
+	rec.set(flagRepairSent)
+	t.sendToTarget(rec)
 }
 
-// resetByTarget handles a target's reset. A flow that it never accepted is
-// tried elsewhere; the caller does not learn of it until tries run out.
-func (t *turn) resetByTarget(rec *record) {
+// handleTargetReset handles a target's reset. An open that the target refused
+// is retried with another target; the caller is notified when the attempts run
+// out.
+func (t *task) handleTargetReset(rec *record) {
 	if rec.state == StateEstablished {
-		t.emit(baobabstep.DestCaller)
-		t.finish(rec, StateReset, t.p.Code)
+		t.sendPacket(baobabstep.DestCaller)
+		t.endFlow(rec, StateReset, t.p.Code)
 		return
 	}
 	if t.p.Code == baobabstep.CodeUnknownFlow {
-		// The answer to a packet that overtook the open.
+		// This answers a packet that arrived before the open.
 		t.count(EventDroppedLate)
 		return
 	}
-	t.evaluate(rec)
-	if !rec.has(flagHolder) && t.mayForward() {
-		t.pass(t.owners().Holder)
+	t.refreshRole(rec)
+	if !rec.has(flagHolder) && t.mayAskHolder() {
+		t.relay(t.owners().Holder)
 		return
 	}
-	t.refused(rec)
+	t.tryNextTarget(rec)
 }
 
-// refused chooses another target for a flow that its target did not accept.
-// The open is made anew, since its packet is gone; an open has no payload.
-func (t *turn) refused(rec *record) {
+// tryNextTarget picks another target for a flow that its target refused. It
+// builds a new open, since the original packet is gone; opens carry no
+// payload.
+func (t *task) tryNextTarget(rec *record) {
 	t.count(EventRefusedByTarget)
 	if rec.has(flagCounted) {
 		rec.clear(flagCounted)
-		t.r.o.Chooser.FlowRefused(t.now, t.r.reg.target(rec.target).id, t.p.Code)
+		t.r.opts.Chooser.FlowRefused(t.now, t.r.reg.target(rec.target).id, t.p.Code)
 	}
 	config := t.snap.config.ServiceAt(t.p.Flow.Service)
 	if rec.attempt() >= maxAttempts || config == nil || config.ID != t.r.reg.service(rec.service).id {
-		t.giveUp(rec, t.p.Code)
+		t.refuseAndDrop(rec, t.p.Code)
 		return
 	}
-	tg, code := t.pick(config)
+	tg, code := t.pickTarget(config)
 	if code != baobabstep.CodeOK {
-		t.giveUp(rec, code)
+		t.refuseAndDrop(rec, code)
 		return
 	}
-	t.aim(rec, tg, true)
+	t.assignTarget(rec, tg, true)
 	rec.version = clampVersion(t.snap.config.Version)
 	rec.setAttempt(rec.attempt() + 1)
 	clearCopied(rec)
-	rec.clear(flagTried)
+	rec.clear(flagRepairSent)
 	open := baobabstep.Packet{Kind: baobabstep.KindOpen, Flow: t.p.Flow}
 	t.p = &open
-	t.toTarget(rec)
+	t.sendToTarget(rec)
 }
 
-// giveUp refuses an open. No mark against late packets stays: the caller may
-// try again with the same key.
-func (t *turn) giveUp(rec *record, code baobabstep.Code) {
+// refuseAndDrop refuses an open and drops its record, since the caller may
+// reuse the key at once.
+func (t *task) refuseAndDrop(rec *record, code baobabstep.Code) {
 	t.refuseOpen(code)
-	t.tellOwners(baobabstep.PurposeForget, rec)
-	t.drop(rec)
+	t.notifyOwners(baobabstep.PurposeForget, rec)
+	t.dropRecord(rec)
 }
--- a/core/flow/paused_open_test.go
+++ b/core/flow/paused_open_test.go
@@ -8,13 +8,12 @@
 	"baobabstep"
 )
 
-// A VM is paused with opens in its socket that came by way of it as the second
-// copy. The target of one begins to drain meanwhile, and all VMs hear of it. The
-// VM wakes up and used to send the open on: new work for a target that was
-// leaving for as long as the pause was. The caller has repeated its open long
-// ago, so the old one is dropped.
-func TestPausedVMSendsNoOldOpen(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+// A VM is paused while an open is queued in its socket as the second copy.
+// Meanwhile the open's target begins to drain. When the VM resumes, it must
+// drop the open, which the caller has repeated long ago, rather than send new
+// work to a leaving target.
+func TestPausedVMDropsQueuedOpen(t *testing.T) {
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	o := x.owners(x.key(1), x.vms)
 	x.routers[o.Second].SetPaused(x.now, true)
 	late := 0
--- a/core/flow/policy.go
+++ b/core/flow/policy.go
@@ -6,8 +6,8 @@
 	"baobabstep"
 )
 
-// Policy routes the packets of flows. Router is the one in use; the others are
-// baselines that it is measured against.
+// Policy routes the packets of flows. Router is the policy for production; the
+// others are baselines for comparison.
 type Policy interface {
 	SetConfig(now time.Time, c *baobabstep.Config)
 	SetView(now time.Time, v *baobabstep.View)
@@ -25,15 +25,15 @@
 	_ Policy = (*slotTable)(nil)
 )
 
-// Names of policies.
+// Policy names for NewPolicy.
 const (
 	PolicyReplicated = "replicated"
 	PolicyHashTable  = "hash_table"
 	PolicySlotTable  = "slot_table"
 )
 
-// NewPolicy returns the policy called name; the empty name stands for
-// PolicyReplicated. The error has CodeSettings.
+// NewPolicy returns the policy with the given name; the empty name selects
+// PolicyReplicated. Errors have CodeSettings.
 func NewPolicy(now time.Time, name string, o Options) (Policy, error) {
 	switch name {
 	case "", PolicyReplicated:
--- a/core/flow/policy_test.go
+++ b/core/flow/policy_test.go
@@ -16,18 +16,19 @@
 	qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeSettings)
 }
 
-// result is what one policy did in the same course of events.
+// result holds the measurements of one policy.
 type result struct {
 	flows, broken int
 	hops          float64
 	records       int
 }
 
-// course opens flows, and replaces targets and VMs one after the other while
-// callers use their flows. The news reaches one half of the VMs later.
-func course(t *testing.T, policy string) result {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 15, policy: policy})
-	x.split = true
+// runScenario opens flows, and replaces targets and VMs one after the other
+// while callers use their flows. Half of the VMs receive each configuration
+// late.
+func runScenario(t *testing.T, policy string) result {
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 15, policy: policy})
+	x.allowSplit = true
 	var flows []*fakeCaller
 	open := func(n int) {
 		for range n {
@@ -36,7 +37,7 @@
 	}
 	open(300)
 	for step := range 6 {
-		x.setConfigLate(x.next(func(c *baobabstep.Config) {
+		x.setConfigLate(x.nextConfig(func(c *baobabstep.Config) {
 			s := &c.Services[0]
 			tg := s.Targets[0]
 			tg.Name = fmt.Sprint("new", step)
@@ -44,18 +45,18 @@
 			tg.Address = x.freshAddress()
 			s.Targets = append(without(s.Targets, 0), tg)
 		}))
-		x.useAll(flows)
+		x.sendDataOnAll(flows)
 		x.setConfig(x.config)
 		x.addVM(9+step, 3)
 		x.kill(x.alive()[step].ID)
 		x.setViews(x.alive())
-		x.useAll(flows)
+		x.sendDataOnAll(flows)
 		x.advance(10 * time.Second)
 		open(50)
 	}
 	r := result{flows: len(flows)}
 	for _, c := range flows {
-		if !x.say(c, "last", 0) {
+		if !x.sendData(c, "last", 0) {
 			r.broken++
 		}
 	}
@@ -68,13 +69,14 @@
 	return r
 }
 
-// Targets and VMs are replaced while callers use their flows. By hashing alone
-// a flow goes elsewhere as soon as a VM that never saw it gets its packet.
-func TestPoliciesSideBySide(t *testing.T) {
+// Targets and VMs are replaced while callers use their flows. The replicated
+// policy must break no flow; the baselines break those whose packets reach a
+// VM without their state.
+func TestPolicyComparison(t *testing.T) {
 	t.Parallel()
 	results := map[string]result{}
 	for _, policy := range []string{flow.PolicyReplicated, flow.PolicySlotTable, flow.PolicyHashTable} {
-		r := course(t, policy)
+		r := runScenario(t, policy)
 		results[policy] = r
 		t.Logf("%-10s %d of %d flows broken, %.2f packets between VMs per packet to an end, %.2f records a flow",
 			policy, r.broken, r.flows, r.hops, float64(r.records)/float64(r.flows))
--- a/core/flow/probe_evidence_test.go
+++ b/core/flow/probe_evidence_test.go
@@ -9,11 +9,11 @@
 	"baobabstep"
 )
 
-// A target forgets one flow and its caller asks every second. Evidence that the
-// path works used to be asked for only after the first probe was in vain, which
-// cost the caller one more interval before its reset.
+// A target loses a flow whose caller sends every second. Evidence of the path
+// must be requested with the first probe: requesting it only after that probe
+// went unanswered delays the caller's reset by one probe interval.
 func TestForgottenFlowNeedsThreeProbes(t *testing.T) {
-	x := newExchange(t, fleet{vms: 9, dcs: 3, targets: 6})
+	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
 	flows := openMany(x, 60)
 	x.advance(time.Minute)
 	forgotten, probes := flows[7], 0
@@ -25,7 +25,7 @@
 		return lost
 	}
 	for range 10 {
-		x.useAll(flows)
+		x.sendDataOnAll(flows)
 		x.advance(time.Second)
 	}
 	qt.Assert(t, forgotten.reset, qt.Equals, baobabstep.CodeFlowSilent)
--- a/core/flow/random_faults_test.go
+++ b/core/flow/random_faults_test.go
@@ -11,9 +11,9 @@
 	"baobabstep"
 )
 
-// machine drives a fleet by random events.
-type machine struct {
-	*exchange
+// faultMachine drives a fleet with random events.
+type faultMachine struct {
+	*testNetwork
 	flows   []*fakeCaller
 	closing map[*fakeCaller]bool
 	paused  map[baobabstep.VMID]bool
@@ -21,14 +21,14 @@
 	tgCount int
 }
 
-// pick returns a running VM.
-func (m *machine) pick(t *rapid.T) baobabstep.VMID {
+// pick returns a random running VM.
+func (m *faultMachine) pick(t *rapid.T) baobabstep.VMID {
 	alive := m.alive()
 	return alive[rapid.IntRange(0, len(alive)-1).Draw(t, "vm")].ID
 }
 
-// flow returns a flow that is open or opening, or nil.
-func (m *machine) flow(t *rapid.T) (int, *fakeCaller) {
+// flow returns the index of a random flow, and the flow unless it has ended.
+func (m *faultMachine) flow(t *rapid.T) (int, *fakeCaller) {
 	if len(m.flows) == 0 {
 		return 0, nil
 	}
@@ -39,7 +39,7 @@
 	return n, nil
 }
 
-func (m *machine) open(t *rapid.T) {
+func (m *faultMachine) open(t *rapid.T) {
 	n := len(m.flows)
 	m.flows = append(m.flows, m.sendOpen(n, m.pick(t)))
 	if rapid.Bool().Draw(t, "twice") {
@@ -47,35 +47,35 @@
 	}
 }
 
-func (m *machine) repeat(t *rapid.T) {
+func (m *faultMachine) repeat(t *rapid.T) {
 	if n, c := m.flow(t); c != nil && c.opened == 0 {
 		m.sendOpen(n, m.pick(t))
 	}
 }
 
-func (m *machine) data(t *rapid.T) {
+func (m *faultMachine) data(t *rapid.T) {
 	if _, c := m.flow(t); c != nil && c.opened != 0 {
-		m.enter(m.pick(t), baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key})
+		m.receive(m.pick(t), baobabstep.Packet{Kind: baobabstep.KindData, Flow: c.key})
 		m.run()
 	}
 }
 
-func (m *machine) finish(t *rapid.T) {
+func (m *faultMachine) closeOne(t *rapid.T) {
 	if _, c := m.flow(t); c != nil && c.opened != 0 {
 		m.closing[c] = true
-		m.enter(m.pick(t), baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
+		m.receive(m.pick(t), baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
 		m.run()
 	}
 }
 
-// news brings one VM, or all, up to date.
-func (m *machine) news(t *rapid.T) {
+// updateOne gives one VM the current view and configuration.
+func (m *faultMachine) updateOne(t *rapid.T) {
 	vm := m.pick(t)
 	m.setView(vm, m.alive())
 	m.routers[vm].SetConfig(m.now, m.config)
 }
 
-func (m *machine) newsToAll(*rapid.T) {
+func (m *faultMachine) updateAll(*rapid.T) {
 	m.setViews(m.alive())
 	for _, r := range m.routers {
 		if r != nil {
@@ -84,13 +84,13 @@
 	}
 }
 
-func (m *machine) death(t *rapid.T) {
+func (m *faultMachine) death(t *rapid.T) {
 	if len(m.alive()) > 4 {
 		m.kill(m.pick(t))
 	}
 }
 
-func (m *machine) join(t *rapid.T) {
+func (m *faultMachine) join(t *rapid.T) {
 	if len(m.alive()) < 9 {
 		m.addVM(m.vmCount, 2)
 		m.vmCount++
@@ -99,19 +99,19 @@
 	}
 }
 
-func (m *machine) pause(t *rapid.T) {
+func (m *faultMachine) pause(t *rapid.T) {
 	vm := m.pick(t)
 	m.paused[vm] = !m.paused[vm]
 	m.routers[vm].SetPaused(m.now, m.paused[vm])
 }
 
-func (m *machine) wait(t *rapid.T) {
+func (m *faultMachine) wait(t *rapid.T) {
 	m.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
 }
 
-// retarget replaces one target; only some VMs hear of it now.
-func (m *machine) retarget(t *rapid.T) {
-	c := m.next(func(c *baobabstep.Config) {
+// retarget replaces one target; only one VM gets the new configuration.
+func (m *faultMachine) retarget(t *rapid.T) {
+	c := m.nextConfig(func(c *baobabstep.Config) {
 		s := &c.Services[0]
 		s.Targets = without(s.Targets, rapid.IntRange(0, len(s.Targets)-1).Draw(t, "target"))
 		tg := s.Targets[0]
@@ -124,12 +124,12 @@
 	m.routers = nil
 	m.setConfig(c)
 	m.routers = routers
-	m.news(t)
+	m.updateOne(t)
 }
 
-// settle ends all faults and checks every flow: it goes on with the one target
-// that has had its data, or it ended, and then no target holds it.
-func (m *machine) settle(t *rapid.T) {
+// checkAfterFaults ends all faults and checks that every flow either continues
+// with the one target that received its data, or ended and no target has it.
+func (m *faultMachine) checkAfterFaults(t *rapid.T) {
 	for vm, paused := range m.paused {
 		if r := m.routers[vm]; r != nil && paused {
 			r.SetPaused(m.now, false)
@@ -137,33 +137,33 @@
 	}
 	excused := map[*fakeCaller]bool{}
 	for _, c := range m.flows {
-		excused[c] = m.beyondBound(c)
+		excused[c] = m.mayBeLost(c)
 	}
-	m.newsToAll(t)
+	m.updateAll(t)
 	m.advance(25 * time.Second)
 	for n, c := range m.flows {
 		switch {
 		case excused[c]:
 		case m.closing[c]:
 			for range 3 {
-				m.enter(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
+				m.receive(0, baobabstep.Packet{Kind: baobabstep.KindClose, Flow: c.key})
 				m.run()
 			}
 		case c.reset != 0:
 			t.Fatalf("flow %v was reset with %v", c.key, c.reset)
 		case c.opened == 0:
-			m.exchange.open(n)
-			m.goesOn(t, c)
+			m.testNetwork.open(n)
+			m.checkUsable(t, c)
 		default:
-			m.goesOn(t, c)
+			m.checkUsable(t, c)
 		}
 	}
 }
 
-// beyondBound tells whether a flow may end by itself: all VMs with its record
-// died, and its target is no more in the configuration, so that a VM which
-// started since does not know whom to ask.
-func (m *machine) beyondBound(c *fakeCaller) bool {
+// mayBeLost reports whether a flow may end without cause: all VMs with its
+// record died, and its target is no longer configured, so a VM that started
+// since cannot probe it.
+func (m *faultMachine) mayBeLost(c *fakeCaller) bool {
 	for _, r := range m.routers {
 		if r == nil {
 			continue
@@ -180,51 +180,52 @@
 	return false
 }
 
-// goesOn checks that a flow carries data. A target that accepted a repeated
-// open, and whose VMs all died, holds the flow for nobody until it asks.
-func (m *machine) goesOn(t *rapid.T, c *fakeCaller) {
+// checkUsable checks that a flow carries data. A target that accepted a
+// repeated open, and whose VMs all died, keeps the flow until it probes.
+func (m *faultMachine) checkUsable(t *rapid.T, c *fakeCaller) {
 	for n := range 6 {
-		if !m.say(c, fmt.Sprint("hello ", n), 0) {
+		if !m.sendData(c, fmt.Sprint("hello ", n), 0) {
 			t.Fatalf("flow %v is broken, reset %v", c.key, c.reset)
 		}
-		m.orphansAsk(c)
+		m.probeFromOrphans(c)
 	}
 	m.assertAlive(c)
 }
 
-// orphansAsk has the targets that hold the flow for nobody ask for it.
-func (m *machine) orphansAsk(c *fakeCaller) {
+// probeFromOrphans sends probes from targets that have the flow without being
+// used for it.
+func (m *faultMachine) probeFromOrphans(c *fakeCaller) {
 	for id, tg := range m.targets {
 		if _, holds := tg.flows[c.key]; !holds || id == c.bound {
 			continue
 		}
-		m.enter(0, baobabstep.Packet{
+		m.receive(0, baobabstep.Packet{
 			Kind: baobabstep.KindProbe, FromTarget: true, Flow: c.key, Service: tg.config.Service, Target: id,
 		})
 		m.run()
 		if m.config.Target(id) == nil {
-			// Nobody may know its address any more.
+			// No VM may have its address any more.
 			delete(tg.flows, c.key)
 		}
 	}
 }
 
-// Everything at once, in random order: opens and repetitions, data, ends,
-// deaths, joins, pauses, targets replaced, with each VM hearing of it at some
-// other time. A caller whose packets go unanswered repeats them. No invariant
-// may break, no data may reach two targets, and no flow may end by itself.
+// Random opens, repetitions, data, closes, VM deaths, joins, pauses and target
+// replacements, which each VM learns of at a different time. Callers repeat
+// unanswered packets. No invariant may break, no data may reach two targets,
+// and no flow may end without a close.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{
-			exchange: newExchange(t, fleet{vms: 6, dcs: 2, targets: 4}),
-			closing:  map[*fakeCaller]bool{}, paused: map[baobabstep.VMID]bool{}, vmCount: 6, tgCount: 100,
+		m := &faultMachine{
+			testNetwork: newTestNetwork(t, fleet{vms: 6, dcs: 2, targets: 4}),
+			closing:     map[*fakeCaller]bool{}, paused: map[baobabstep.VMID]bool{}, vmCount: 6, tgCount: 100,
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"open": m.open, "repeat": m.repeat, "data": m.data, "more data": m.data, "close": m.finish,
-			"news": m.news, "more news": m.news, "news to all": m.newsToAll, "death": m.death, "join": m.join,
+			"open": m.open, "repeat": m.repeat, "data": m.data, "more data": m.data, "close": m.closeOne,
+			"news": m.updateOne, "more news": m.updateOne, "news to all": m.updateAll, "death": m.death, "join": m.join,
 			"pause": m.pause, "wait": m.wait, "retarget": m.retarget,
 		})
-		m.settle(t)
+		m.checkAfterFaults(t)
 	})
 }
--- a/core/flow/registry.go
+++ b/core/flow/registry.go
@@ -8,40 +8,42 @@
 	"baobabstep"
 )
 
-// target is what the router knows of a target. It stays known after the
-// configuration dropped it, as long as flows use it: an established flow goes
-// to the address it was opened on. The identity never changes; a target that
-// got another service or address is another entry.
+// target is a registry entry. It outlives the target's removal from the
+// configuration while flows use it, since an established flow keeps the
+// address on which it was opened. The identity is immutable: a target that
+// gets another service or address gets another entry.
 type target struct {
 	id         baobabstep.TargetID
 	service    baobabstep.ServiceID
 	address    netip.AddrPort
 	dataCentre string
-	// flows counts the records that name the target.
+	// flows counts the records that use the target.
 	flows atomic.Int64
-	// taken is set while the configuration gives the address to another
-	// service: nothing may be sent there for the old one.
-	taken atomic.Bool
-	// unused is set if the last sweep found no use; under registry.mu.
+	// addressTaken is set while the configuration assigns the address to
+	// another service. Packets of this service must not be sent there.
+	addressTaken atomic.Bool
+	// unused is set if the last sweep found the target unused; guarded by
+	// registry.mu.
 	unused bool
-	// heard is the tick of the last packet from the target.
-	heard atomic.Uint32
-	// acked is the tick of its last answer to a probe of this VM.
-	acked atomic.Uint32
-	// silent counts unanswered probes since, while its path was in doubt.
-	silent atomic.Uint32
+	// lastPacket is the tick of the last packet from the target.
+	lastPacket atomic.Uint32
+	// lastAck is the tick of its last answer to a probe from this VM.
+	lastAck atomic.Uint32
+	// unansweredProbes counts the probes since lastAck that went
+	// unanswered while the path to the target was suspected.
+	unansweredProbes atomic.Uint32
 }
 
-// service is a service as callers address it.
+// service is a registry entry for a service at one of its addresses.
 type service struct {
 	id          baobabstep.ServiceID
 	address     netip.AddrPort
 	dataCentres []string
-	// moved is set while the configuration gives the address to another
-	// service.
-	moved atomic.Bool
-	// previous are the data centres before the last change of the list;
-	// records may still be placed by them.
+	// addressMoved is set while the configuration assigns the address to
+	// another service.
+	addressMoved atomic.Bool
+	// previous holds the data centres before the last change of the list;
+	// records may still be placed according to them.
 	previous []string
 }
 
@@ -50,32 +52,33 @@
 	address netip.AddrPort
 }
 
-// registry numbers targets and services, so that a record names each in four
-// bytes. Look-ups by number take no lock.
+// registry maps targets and services to indexes, so that a record refers to
+// each in four bytes. Look-ups by index take no lock.
 type registry struct {
 	targets  atomic.Pointer[[]*target]
 	services atomic.Pointer[[]*service]
 
-	mu            sync.RWMutex
-	targetByID    map[baobabstep.TargetID]uint32
-	byService     map[baobabstep.ServiceID][]uint32
-	serviceByKey  map[serviceKey]uint32
-	serviceByAddr map[netip.AddrPort]uint32
-	// owner is the service that the configuration gives an address to.
-	owner map[netip.AddrPort]baobabstep.ServiceID
-	// nextSweep is the number of targets at which the next sweep is due.
+	mu               sync.RWMutex
+	targetByID       map[baobabstep.TargetID]uint32
+	targetsByService map[baobabstep.ServiceID][]uint32
+	serviceByKey     map[serviceKey]uint32
+	serviceByAddr    map[netip.AddrPort]uint32
+	// addressOwner maps a target address to its configured service.
+	addressOwner map[netip.AddrPort]baobabstep.ServiceID
+	// nextSweep is the number of targets at which the next sweep is due,
+	// and sweepEvery the number of targets from one sweep to the next.
 	nextSweep, sweepEvery int
 }
 
 func newRegistry() *registry {
 	reg := &registry{
-		nextSweep:     sweepEvery,
-		sweepEvery:    sweepEvery,
-		targetByID:    make(map[baobabstep.TargetID]uint32),
-		byService:     make(map[baobabstep.ServiceID][]uint32),
-		serviceByKey:  make(map[serviceKey]uint32),
-		serviceByAddr: make(map[netip.AddrPort]uint32),
-		owner:         make(map[netip.AddrPort]baobabstep.ServiceID),
+		nextSweep:        sweepEvery,
+		sweepEvery:       sweepEvery,
+		targetByID:       make(map[baobabstep.TargetID]uint32),
+		targetsByService: make(map[baobabstep.ServiceID][]uint32),
+		serviceByKey:     make(map[serviceKey]uint32),
+		serviceByAddr:    make(map[netip.AddrPort]uint32),
+		addressOwner:     make(map[netip.AddrPort]baobabstep.ServiceID),
 	}
 	reg.targets.Store(new([]*target))
 	reg.services.Store(new([]*service))
@@ -85,28 +88,28 @@
 func (reg *registry) target(i uint32) *target   { return (*reg.targets.Load())[i] }
 func (reg *registry) service(i uint32) *service { return (*reg.services.Load())[i] }
 
-// load takes in a configuration. It reports whether the data centres of a
-// service changed, and with it the place of its records.
-func (reg *registry) load(c *baobabstep.Config) (moved bool) {
+// loadConfig applies a configuration. It reports whether the data centres of a
+// service changed, which changes the owners of its flows.
+func (reg *registry) loadConfig(c *baobabstep.Config) (moved bool) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	clear(reg.owner)
+	clear(reg.addressOwner)
 	for i := range c.Services {
 		s := &c.Services[i]
 		moved = reg.addService(s) || moved
 		for j := range s.Targets {
 			reg.addTarget(&s.Targets[j])
-			reg.owner[s.Targets[j].Address] = s.ID
+			reg.addressOwner[s.Targets[j].Address] = s.ID
 		}
 	}
 	for _, t := range *reg.targets.Load() {
 		if t != nil {
-			t.taken.Store(reg.takenFrom(t))
+			t.addressTaken.Store(reg.isAddressTaken(t))
 		}
 	}
 	for _, s := range *reg.services.Load() {
-		now := c.ServiceAt(s.address)
-		s.moved.Store(now != nil && now.ID != s.id)
+		current := c.ServiceAt(s.address)
+		s.addressMoved.Store(current != nil && current.ID != s.id)
 	}
 	reg.sweep(c)
 	return moved
@@ -123,7 +126,7 @@
 	}
 	reg.serviceByAddr[s.Address] = i
 	old := reg.service(i)
-	if equal(old.dataCentres, s.DataCentres) {
+	if equalStrings(old.dataCentres, s.DataCentres) {
 		return false
 	}
 	list := append([]*service(nil), *reg.services.Load()...)
@@ -132,7 +135,7 @@
 	return true
 }
 
-func equal(a, b []string) bool {
+func equalStrings(a, b []string) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -150,7 +153,8 @@
 	return uint32(len(list) - 1)
 }
 
-// addTarget makes sure that the target is known as configured.
+// addTarget adds an entry unless the target is known with the same service and
+// address.
 func (reg *registry) addTarget(t *baobabstep.Target) {
 	if i, found := reg.targetByID[t.ID]; found {
 		if known := reg.target(i); known.service == t.Service && known.address == t.Address {
@@ -165,7 +169,7 @@
 	reg.targets.Store(&list)
 	i := uint32(len(list) - 1)
 	reg.targetByID[t.id] = i
-	reg.byService[t.service] = append(reg.byService[t.service], i)
+	reg.targetsByService[t.service] = append(reg.targetsByService[t.service], i)
 	return i
 }
 
@@ -173,8 +177,8 @@
 const sweepEvery = 1 << 16
 
 // sweep drops targets that neither flows nor the configuration used at two
-// sweeps in a row. The first only marks them, since a packet under way may
-// have looked one up for a new record. Numbers are not used again.
+// consecutive sweeps. The first sweep only marks them, since a packet being
+// handled may have looked one up for a new record. Indexes are never reused.
 func (reg *registry) sweep(c *baobabstep.Config) {
 	old := *reg.targets.Load()
 	if len(old) < reg.nextSweep {
@@ -182,7 +186,7 @@
 	}
 	reg.nextSweep = len(old) + reg.sweepEvery
 	list := append([]*target(nil), old...)
-	clear(reg.byService)
+	clear(reg.targetsByService)
 	for i, t := range list {
 		if t == nil {
 			continue
@@ -196,12 +200,12 @@
 			continue
 		}
 		t.unused = !used
-		reg.byService[t.service] = append(reg.byService[t.service], uint32(i))
+		reg.targetsByService[t.service] = append(reg.targetsByService[t.service], uint32(i))
 	}
 	reg.targets.Store(&list)
 }
 
-// findTarget returns the number of a target of a service.
+// findTarget returns the index of a target of a service.
 func (reg *registry) findTarget(id baobabstep.TargetID, of baobabstep.ServiceID) (uint32, bool) {
 	reg.mu.RLock()
 	i, found := reg.targetByID[id]
@@ -209,22 +213,22 @@
 	return i, found && reg.target(i).service == of
 }
 
-// learnTarget returns the number of the target of a record that another VM
-// vouched for. This VM's configuration may not have it yet, or not any more.
-func (reg *registry) learnTarget(in baobabstep.Record) uint32 {
-	if i, found := reg.findTarget(in.Target, in.Service); found && reg.target(i).at(in.Address) {
+// findOrAddTarget returns the index of the target in another VM's record. This
+// VM's configuration may not have the target yet, or not any more.
+func (reg *registry) findOrAddTarget(in baobabstep.Record) uint32 {
+	if i, found := reg.findTarget(in.Target, in.Service); found && reg.target(i).hasAddress(in.Address) {
 		return i
 	}
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	for _, i := range reg.byService[in.Service] {
-		if t := reg.target(i); t != nil && t.id == in.Target && t.at(in.Address) {
+	for _, i := range reg.targetsByService[in.Service] {
+		if t := reg.target(i); t != nil && t.id == in.Target && t.hasAddress(in.Address) {
 			return i
 		}
 	}
 	current, known := reg.targetByID[in.Target]
 	t := &target{id: in.Target, service: in.Service, address: in.Address}
-	t.taken.Store(reg.takenFrom(t))
+	t.addressTaken.Store(reg.isAddressTaken(t))
 	i := reg.appendTarget(t)
 	if known {
 		reg.targetByID[in.Target] = current
@@ -232,20 +236,21 @@
 	return i
 }
 
-// at tells whether the target has the address, or another VM did not say.
-func (t *target) at(address netip.AddrPort) bool {
+// hasAddress reports whether the target has the address; an invalid address,
+// which stands for an unknown one, always matches.
+func (t *target) hasAddress(address netip.AddrPort) bool {
 	return !address.IsValid() || t.address == address
 }
 
-// takenFrom tells whether the configuration gives the target's address to
-// another service.
-func (reg *registry) takenFrom(t *target) bool {
-	now, found := reg.owner[t.address]
-	return found && now != t.service
+// isAddressTaken reports whether the configuration assigns the target's
+// address to another service.
+func (reg *registry) isAddressTaken(t *target) bool {
+	current, found := reg.addressOwner[t.address]
+	return found && current != t.service
 }
 
-// findService returns the number of the service that the caller addressed; id
-// 0 stands for the one that has the address now.
+// findService returns the index of the service at the caller's destination
+// address; id 0 selects the service that has the address in the configuration.
 func (reg *registry) findService(address netip.AddrPort, id baobabstep.ServiceID) (uint32, bool) {
 	reg.mu.RLock()
 	defer reg.mu.RUnlock()
@@ -261,7 +266,7 @@
 func (reg *registry) targetsOf(id baobabstep.ServiceID, f func(*target)) {
 	reg.mu.RLock()
 	defer reg.mu.RUnlock()
-	for _, i := range reg.byService[id] {
+	for _, i := range reg.targetsByService[id] {
 		if t := reg.target(i); t != nil {
 			f(t)
 		}
--- a/core/flow/registry_test.go
+++ b/core/flow/registry_test.go
@@ -9,9 +9,8 @@
 	"baobabstep"
 )
 
-// Targets come and go with thousands of changes a day, and a VM runs for
-// months. What it knows of targets must not grow for ever, and a target that a
-// flow still uses must not be forgotten.
+// With thousands of target changes a day, a VM that runs for months must drop
+// unused targets from its registry, but keep a target that a flow still uses.
 func TestUnusedTargetsAreDropped(t *testing.T) {
 	reg := newRegistry()
 	reg.nextSweep, reg.sweepEvery = 8, 8
@@ -20,7 +19,7 @@
 	for n := range 200 {
 		c := &baobabstep.Config{Services: []baobabstep.Service{{ID: svc, Targets: []baobabstep.Target{{ID: id(n), Service: svc}}}}}
 		c.Index()
-		reg.load(c)
+		reg.loadConfig(c)
 		if n == 0 {
 			reg.target(0).flows.Add(1)
 		}
--- a/core/flow/router_test.go
+++ b/core/flow/router_test.go
@@ -9,31 +9,31 @@
 	"baobabstep/core/flow"
 )
 
-// alone is one router of a fleet of two, whose answers a test looks at.
-type alone struct {
-	*exchange
+// singleRouter is one router of a fleet of two, whose output a test checks.
+type singleRouter struct {
+	*testNetwork
 	router flow.Policy
 	other  baobabstep.VMID
 	key    baobabstep.FlowKey
 }
 
-// newAlone returns the router that is the holder of flow 1.
-func newAlone(t *testing.T) *alone {
-	x := newExchange(t, fleet{vms: 2, dcs: 1, targets: 3})
+// newSingleRouter returns the router that is the holder of flow 1.
+func newSingleRouter(t *testing.T) *singleRouter {
+	x := newTestNetwork(t, fleet{vms: 2, dcs: 1, targets: 3})
 	key := x.key(1)
 	o := x.owners(key, x.vms)
-	return &alone{exchange: x, router: x.routers[o.Holder], other: o.Second, key: key}
+	return &singleRouter{testNetwork: x, router: x.routers[o.Holder], other: o.Second, key: key}
 }
 
-func (a *alone) handle(p baobabstep.Packet) baobabstep.Outbox {
+func (a *singleRouter) handle(p baobabstep.Packet) baobabstep.Outbox {
 	var out baobabstep.Outbox
 	p.Flow = a.key
 	a.router.Handle(a.now, &p, &out)
 	return out
 }
 
-// learn gives the router a record of target i, from the other VM.
-func (a *alone) learn(purpose baobabstep.Purpose, i int, confirmed bool) baobabstep.Outbox {
+// learn sends the router a record of target i from the other VM.
+func (a *singleRouter) learn(purpose baobabstep.Purpose, i int, confirmed bool) baobabstep.Outbox {
 	s := a.config.Services[0]
 	return a.handle(baobabstep.Packet{Kind: baobabstep.KindData, Route: baobabstep.Route{
 		Purpose: purpose, From: a.other, Record: baobabstep.Record{
@@ -42,12 +42,12 @@
 	}})
 }
 
-// A target other than the record's sends data: one of the two lost a conflict.
-// The VM may reset the sender only if it knows that the caller uses its own
-// record; otherwise it might end the flow that won.
+// A target other than the record's sends data, so one of the two lost a
+// conflict. The VM may reset the sender only if the caller is known to use the
+// VM's record; otherwise it might end the flow that won.
 func TestWrongTargetIsResetOnlyForAFlowInUse(t *testing.T) {
 	for _, inUse := range []bool{false, true} {
-		a := newAlone(t)
+		a := newSingleRouter(t)
 		a.learn(baobabstep.PurposeLearn, 0, inUse)
 		wrong := a.config.Services[0].Targets[1]
 		out := a.handle(baobabstep.Packet{
@@ -63,11 +63,12 @@
 	}
 }
 
-// A VM sends a packet by way of this one with a record that loses. Unless the
-// sender learns better, it goes on using the losing target.
+// A VM sends a packet through this one with a record that loses against this
+// VM's. The sender must receive the winning record, or it continues to use the
+// losing target.
 func TestLosingRecordIsCorrectedAtItsSender(t *testing.T) {
 	for _, purpose := range []baobabstep.Purpose{baobabstep.PurposeReplicate, baobabstep.PurposeLearn} {
-		a := newAlone(t)
+		a := newSingleRouter(t)
 		a.learn(baobabstep.PurposeLearn, 0, true)
 		taught := 0
 		for _, s := range a.learn(purpose, 1, false) {
@@ -83,10 +84,10 @@
 	}
 }
 
-// A spoofed or misrouted packet may name anything. None may panic, reach a
-// target without a record, or be answered without end.
-func TestPacketsWithoutSense(t *testing.T) {
-	a := newAlone(t)
+// A spoofed or misrouted packet may contain anything. It must not cause a
+// panic, reach a target without a record, or start an endless exchange.
+func TestInvalidPackets(t *testing.T) {
+	a := newSingleRouter(t)
 	for kind := baobabstep.KindInvalid; kind <= baobabstep.KindHealthReport; kind++ {
 		for purpose := baobabstep.PurposeNone; purpose <= baobabstep.PurposeStored; purpose++ {
 			for _, fromTarget := range []bool{false, true} {
--- a/core/flow/slottable.go
+++ b/core/flow/slottable.go
@@ -8,14 +8,14 @@
 	"baobabstep/core/place"
 )
 
-// slotTable keeps state only for displaced flows. Each service has a table of
-// slots and targets per configuration. A flow of a slot that never changed
-// needs no state. In a slot that changed, data goes to the target before the
-// change, and flows opened since are exceptions, kept by the one VM that holds
-// the slot.
+// slotTable is a baseline policy that keeps state only for displaced flows.
+// Each service maps a fixed number of slots to targets. A flow in a slot whose
+// target never changed needs no state. After a change, data of the slot goes
+// to the previous target, and flows opened since are exceptions, stored by the
+// one VM that holds the slot.
 //
-// It is a baseline. A slot that changed twice has lost its first target, and
-// exceptions die with their VM.
+// Its known faults: a slot that changed twice has lost its first target, and
+// exceptions are lost with their VM.
 type slotTable struct {
 	self    baobabstep.VMID
 	current atomic.Pointer[slotSnapshot]
@@ -29,11 +29,10 @@
 	services map[baobabstep.ServiceID][]slotTargets
 }
 
-// slotTargets are the targets of one slot: for opens, and for flows opened
-// before the last change. Zero stands for none.
-type slotTargets struct{ now, before baobabstep.Target }
+// slotTargets holds the target for new flows of a slot and the one for flows
+// opened before the last change. A zero target means none.
+type slotTargets struct{ current, previous baobabstep.Target }
 
-// slotsPerService is the number of slots of one service.
 const slotsPerService = 1024
 
 func newSlotTable(self baobabstep.VMID) *slotTable {
@@ -42,7 +41,7 @@
 	return t
 }
 
-// SetConfig computes the slots anew and remembers what they were.
+// SetConfig recomputes the slots and keeps each slot's previous target.
 func (t *slotTable) SetConfig(_ time.Time, c *baobabstep.Config) {
 	old := t.current.Load()
 	next := &slotSnapshot{config: c, table: old.table, services: make(map[baobabstep.ServiceID][]slotTargets)}
@@ -57,31 +56,30 @@
 	slots := make([]slotTargets, slotsPerService)
 	for i := range slots {
 		if tg := bestTarget(s, baobabstep.KeyHash{byte(i), byte(i >> 8)}); tg != nil {
-			slots[i].now = *tg
+			slots[i].current = *tg
 		}
 		switch {
 		case old == nil:
-		case old[i].now.ID != slots[i].now.ID:
-			slots[i].before = old[i].now
+		case old[i].current.ID != slots[i].current.ID:
+			slots[i].previous = old[i].current
 		default:
-			slots[i].before = old[i].before
+			slots[i].previous = old[i].previous
 		}
 	}
 	return slots
 }
 
-// SetView sets the VMs that hold slots.
+// SetView updates the assignment of slots to VMs.
 func (t *slotTable) SetView(_ time.Time, v *baobabstep.View) {
 	next := *t.current.Load()
 	next.table = place.New(v)
 	t.current.Store(&next)
 }
 
-// SetPaused does nothing.
+// SetPaused has no effect.
 func (t *slotTable) SetPaused(time.Time, bool) {}
 
-// Handle sends a packet to its target, to the holder of its slot, or to its
-// caller.
+// Handle sends a packet to its target, the holder of its slot or its caller.
 func (t *slotTable) Handle(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
 	snap := t.current.Load()
 	switch {
@@ -93,13 +91,13 @@
 	}
 	s := snap.config.ServiceAt(p.Flow.Service)
 	if s == nil {
-		refuse(p, out)
+		sendRefusal(p, out)
 		return
 	}
 	hash := place.Hash(snap.config.FlowSecret, p.Flow)
 	slot := snap.services[s.ID][place.Slot(hash)%slotsPerService]
 	holder := snap.table.Owners(hash, s.DataCentres).Holder
-	changed := slot.before.ID != 0
+	changed := slot.previous.ID != 0
 	if changed && holder != t.self && p.Route.Purpose == baobabstep.PurposeNone {
 		passed := *p
 		passed.Route = baobabstep.Route{Purpose: baobabstep.PurposeForward, From: t.self}
@@ -108,40 +106,40 @@
 	}
 	tg := t.choose(now, hash, slot, p)
 	if tg.ID == 0 {
-		refuse(p, out)
+		sendRefusal(p, out)
 		return
 	}
 	sendTo(&tg, snap.config.Version, p, out)
 }
 
-// choose returns the target of a packet, and keeps exceptions.
+// choose returns the target of a packet and stores exceptions.
 func (t *slotTable) choose(now time.Time, hash baobabstep.KeyHash, slot slotTargets, p *baobabstep.Packet) baobabstep.Target {
-	if slot.before.ID == 0 {
-		return slot.now
+	if slot.previous.ID == 0 {
+		return slot.current
 	}
 	flow, found := t.flows.get(hash)
 	switch {
 	case found:
 	case p.Kind == baobabstep.KindOpen:
-		flow = localFlow{target: slot.now}
+		flow = localFlow{target: slot.current}
 	default:
-		return slot.before
+		return slot.previous
 	}
 	flow.heard = now
 	t.flows.put(hash, flow, p.Kind)
 	return flow.target
 }
 
-// Tick forgets exceptions that were idle for long.
+// Tick removes exceptions that were idle for localTTL.
 func (t *slotTable) Tick(now time.Time, _ *baobabstep.Outbox) { t.flows.expire(now) }
 
-// Stop has nothing to hand over.
+// Stop returns 0, since the policy hands nothing over.
 func (t *slotTable) Stop(time.Time, *baobabstep.Outbox) int { return 0 }
 
 // Stats returns the number of exceptions.
 func (t *slotTable) Stats() Stats { return t.flows.stats() }
 
-// Explain tells the target of an exception.
+// Explain returns the target of an exception.
 func (t *slotTable) Explain(key baobabstep.FlowKey) (Explanation, bool) {
 	snap := t.current.Load()
 	if snap.config == nil {
--- a/core/flow/testnetwork_test.go
+++ b/core/flow/testnetwork_test.go
@@ -11,52 +11,53 @@
 	"baobabstep/core/place"
 )
 
-// exchange moves packets between routers, callers and targets of one test, in
-// a fixed order and without threads.
-type exchange struct {
+// testNetwork delivers packets between the routers, callers and targets of one
+// test, in a fixed order and on one goroutine.
+type testNetwork struct {
 	t       reporter
 	now     time.Time
 	random  *rand.Rand
 	vms     []baobabstep.VM
 	routers map[baobabstep.VMID]flow.Policy
-	// policy is the name of the routers' policy.
+	// policy is the name of the routers' flow policy.
 	policy string
-	// choosers are those of the routers.
+	// choosers holds each router's chooser.
 	choosers map[baobabstep.VMID]*fakeChooser
 	dead     map[baobabstep.VMID]bool
 	config   *baobabstep.Config
 	targets  map[baobabstep.TargetID]*fakeTarget
 	callers  map[baobabstep.FlowKey]*fakeCaller
-	// usedBy is the target that had data of a flow. No other may get any,
-	// unless split is set.
-	usedBy map[baobabstep.FlowKey]baobabstep.TargetID
-	split  bool
-	// deaf VMs get nothing from outside.
-	deaf map[baobabstep.VMID]bool
-	// lose drops a packet if it returns true.
+	// usedBy holds the target that received data of a flow. Data at any
+	// other target fails the test, unless allowSplit is set.
+	usedBy     map[baobabstep.FlowKey]baobabstep.TargetID
+	allowSplit bool
+	// noInput holds the VMs that receive no packets from callers and
+	// targets.
+	noInput map[baobabstep.VMID]bool
+	// lose returns true for packets to drop.
 	lose  func(from baobabstep.VMID, s *baobabstep.Send) bool
-	queue []parcel
-	// enterAt is where packets of targets enter, by data centre; others
-	// enter anywhere.
-	enterAt map[string]baobabstep.VMID
-	table   *place.Table
+	queue []sentPacket
+	// targetEntry is the VM that receives the packets of a data centre's
+	// targets; those of others go to a random VM.
+	targetEntry map[string]baobabstep.VMID
+	table       *place.Table
 	// sent counts packets by destination.
 	sent map[baobabstep.Dest]int
 }
 
-// reporter is what an exchange needs of a test, of either kind.
+// reporter is the part of testing.T and rapid.T that testNetwork uses.
 type reporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// parcel is a packet under way.
-type parcel struct {
+// sentPacket is a packet in transit.
+type sentPacket struct {
 	from baobabstep.VMID
 	send baobabstep.Send
 }
 
-// fakeTarget holds flows as a target does.
+// fakeTarget is a target that echoes data.
 type fakeTarget struct {
 	config  baobabstep.Target
 	flows   map[baobabstep.FlowKey]int
@@ -65,11 +66,11 @@
 	refused int
 }
 
-// fakeCaller is one end of one flow.
+// fakeCaller is the caller's end of one flow.
 type fakeCaller struct {
 	key    baobabstep.FlowKey
 	opened baobabstep.TargetID
-	// bound is the target whose data the caller got.
+	// bound is the target whose data the caller received.
 	bound  baobabstep.TargetID
 	got    []string
 	closed bool
@@ -78,11 +79,11 @@
 	silent bool
 }
 
-// fakeChooser takes targets in turn. It may be told to prefer one.
+// fakeChooser picks targets in turn, or always prefer if set.
 type fakeChooser struct {
 	next   int
 	prefer baobabstep.TargetID
-	count  map[baobabstep.TargetID]int
+	counts map[baobabstep.TargetID]int
 }
 
 func (c *fakeChooser) PickFlow(_ time.Time, s *baobabstep.Service, _ string, _ uint64) (baobabstep.TargetID, baobabstep.Code) {
@@ -94,45 +95,46 @@
 	if c.prefer != 0 {
 		id = c.prefer
 	}
-	c.count[id]++
+	c.counts[id]++
 	return id, baobabstep.CodeOK
 }
 
-func (c *fakeChooser) FlowOpened(_ time.Time, id baobabstep.TargetID) { c.count[id]++ }
-func (c *fakeChooser) FlowClosed(_ time.Time, id baobabstep.TargetID) { c.count[id]-- }
+func (c *fakeChooser) FlowOpened(_ time.Time, id baobabstep.TargetID) { c.counts[id]++ }
+func (c *fakeChooser) FlowClosed(_ time.Time, id baobabstep.TargetID) { c.counts[id]-- }
 func (c *fakeChooser) FlowRefused(_ time.Time, id baobabstep.TargetID, _ baobabstep.Code) {
-	c.count[id]--
+	c.counts[id]--
 	c.prefer = 0
 }
 
-func (x *exchange) push(from baobabstep.VMID, out baobabstep.Outbox) {
+func (x *testNetwork) enqueue(from baobabstep.VMID, out baobabstep.Outbox) {
 	for _, s := range out {
-		x.queue = append(x.queue, parcel{from, s})
+		x.queue = append(x.queue, sentPacket{from, s})
 	}
 }
 
-// enter hands a packet from outside to a VM; 0 lets the fabric choose.
-func (x *exchange) enter(vm baobabstep.VMID, p baobabstep.Packet) {
-	for vm == 0 || x.dead[vm] || x.deaf[vm] {
+// receive gives a VM a packet from a caller or target; VM 0 stands for a
+// random one.
+func (x *testNetwork) receive(vm baobabstep.VMID, p baobabstep.Packet) {
+	for vm == 0 || x.dead[vm] || x.noInput[vm] {
 		vm = x.vms[x.random.IntN(len(x.vms))].ID
 	}
 	x.deliver(vm, p)
 }
 
-func (x *exchange) deliver(vm baobabstep.VMID, p baobabstep.Packet) {
+func (x *testNetwork) deliver(vm baobabstep.VMID, p baobabstep.Packet) {
 	if x.dead[vm] || x.routers[vm] == nil {
 		return
 	}
 	var out baobabstep.Outbox
 	x.routers[vm].Handle(x.now, &p, &out)
-	x.push(vm, out)
+	x.enqueue(vm, out)
 }
 
-// run moves packets until none is under way.
-func (x *exchange) run() {
+// run delivers packets until none is in transit.
+func (x *testNetwork) run() {
 	for n := 0; len(x.queue) > 0; n++ {
 		if n > 5_000_000 {
-			x.t.Fatalf("packets go round without end")
+			x.t.Fatalf("packets are forwarded without end")
 		}
 		next := x.queue[0]
 		x.queue = x.queue[1:]
@@ -144,16 +146,16 @@
 		case baobabstep.DestVM:
 			x.deliver(next.send.VM, next.send.Packet)
 		case baobabstep.DestTarget:
-			x.atTarget(next.send.Address, next.send.Packet)
+			x.deliverToTarget(next.send.Address, next.send.Packet)
 		case baobabstep.DestCaller:
-			x.atCaller(next.send.Packet)
+			x.deliverToCaller(next.send.Packet)
 		}
 	}
 }
 
-// atTarget delivers a packet by its address. As in a node, only a configured
-// target is found without one.
-func (x *exchange) atTarget(address netip.AddrPort, p baobabstep.Packet) {
+// deliverToTarget delivers a packet by its address. As in a node, a target
+// without an address is looked up in the configuration.
+func (x *testNetwork) deliverToTarget(address netip.AddrPort, p baobabstep.Packet) {
 	if !address.IsValid() && x.config.Target(p.Target) != nil {
 		address = x.config.Target(p.Target).Address
 	}
@@ -180,7 +182,7 @@
 	case p.Kind == baobabstep.KindProbe:
 		back.Kind = baobabstep.KindProbeAck
 	case p.Kind == baobabstep.KindData:
-		if by := x.usedBy[p.Flow]; by != 0 && by != p.Target && !x.split {
+		if by := x.usedBy[p.Flow]; by != 0 && by != p.Target && !x.allowSplit {
 			x.t.Fatalf("data of %v went to targets %x and %x", p.Flow, by, p.Target)
 		}
 		x.usedBy[p.Flow] = p.Target
@@ -189,10 +191,10 @@
 	default:
 		return
 	}
-	x.enter(x.enterAt[tg.config.DataCentre], back)
+	x.receive(x.targetEntry[tg.config.DataCentre], back)
 }
 
-func (x *exchange) atCaller(p baobabstep.Packet) {
+func (x *testNetwork) deliverToCaller(p baobabstep.Packet) {
 	c := x.callers[p.Flow]
 	if c == nil || c.silent {
 		return
@@ -202,7 +204,7 @@
 		c.opened = p.Target
 	case baobabstep.KindData:
 		c.got = append(c.got, string(p.Payload))
-		if c.bound != 0 && p.Target != c.bound && !x.split {
+		if c.bound != 0 && p.Target != c.bound && !x.allowSplit {
 			x.t.Fatalf("caller of %v got data of targets %x and %x", p.Flow, c.bound, p.Target)
 		}
 		c.bound = p.Target
@@ -211,19 +213,19 @@
 	case baobabstep.KindReset:
 		c.reset, c.retry = p.Code, p.RetryAfter
 	case baobabstep.KindProbe:
-		x.enter(0, baobabstep.Packet{Kind: baobabstep.KindProbeAck, Flow: p.Flow, Seq: p.Seq})
+		x.receive(0, baobabstep.Packet{Kind: baobabstep.KindProbeAck, Flow: p.Flow, Seq: p.Seq})
 	}
 }
 
-// fleet is the size of an exchange.
+// fleet is the size of a testNetwork.
 type fleet struct {
 	vms, dcs, targets int
 	policy            string
 }
 
-// newExchange returns VMs and one service whose targets all data centres have.
-func newExchange(t reporter, size fleet) *exchange {
-	x := &exchange{
+// newTestNetwork returns VMs and one service with targets in all data centres.
+func newTestNetwork(t reporter, size fleet) *testNetwork {
+	x := &testNetwork{
 		t: t, policy: size.policy, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(1, 2)),
 		routers: map[baobabstep.VMID]flow.Policy{}, dead: map[baobabstep.VMID]bool{},
 		targets: map[baobabstep.TargetID]*fakeTarget{}, callers: map[baobabstep.FlowKey]*fakeCaller{},
