--- a/core/flow/tick.go
+++ b/core/flow/tick.go
@@ -8,62 +8,67 @@
 	"baobabstep/core/place"
 )
 
-// passTicks is the number of ticks in which the scan sees each record once.
-const passTicks = 20
+// scanTicks is the number of ticks in which the scan visits every record once.
+const scanTicks = 20
 
-// lockedRecords bounds the records looked at under one lock, so that packets of
-// the shard never wait long.
-const lockedRecords = 256
+// maxRecordsPerLock bounds the records visited while a shard is locked, so
+// that packets of the shard wait only briefly.
+const maxRecordsPerLock = 256
 
-// learnBytes is the size of the datagram that carries one record, and of its
-// answer.
-const learnBytes = 160
+// recordExchangeBytes is the size in bytes of the datagram that carries one
+// record plus that of its answer.
+const recordExchangeBytes = 160
 
-// scan is the periodic work over all records, a part at each tick.
+// scan is the state of the periodic work over all records, of which each tick
+// does a part.
 type scan struct {
 	shard int
 	pos   uint32
-	// pending counts, by age class, the records that this pass found in
-	// need of a copy; least is the youngest class that is served.
-	pending [ageClasses]int
-	least   int
-	// spare is set if the pass before found no record in need of a copy.
-	spare bool
-	// silent counts, by direction, the flows that this pass found with an
-	// unanswered probe; silentBefore is the count of the pass before.
-	silent, silentBefore [2]int
-	// wanted is when evidence of a path was last wanted; witnesses counts
-	// the probes that this pass sent for it.
-	wanted    map[string]tick
-	witnesses map[string]int
-	// ackedBy is when each data centre's targets last answered a probe. It
-	// is computed when first asked for in a tick.
-	ackedBy map[string]tick
+	// pending counts, by age class, the records that this scan found
+	// without a confirmed copy; minClass is the youngest class that is
+	// replicated.
+	pending  [ageClasses]int
+	minClass int
+	// allCopied is set if the last scan found no record without a
+	// confirmed copy.
+	allCopied bool
+	// unanswered counts, by direction, the flows that this scan found with
+	// an unanswered probe; lastUnanswered holds the counts of the last
+	// scan.
+	unanswered, lastUnanswered [2]int
+	// evidenceWanted holds when evidence of each path was last requested,
+	// pathProbes the number of probes that this scan sent for it.
+	evidenceWanted map[string]tick
+	pathProbes     map[string]int
+	// lastAckByDataCentre holds when the targets of each data centre last
+	// acknowledged a probe. It is computed on first use in a tick.
+	lastAckByDataCentre map[string]tick
 }
 
-// ageClasses is the number of classes of flow age, each twice the one before.
+// ageClasses is the number of flow age classes; each spans twice the previous
+// one.
 const ageClasses = 32
 
-// ageClass returns the class of a record's age.
-func (t *turn) ageClass(rec *record) int {
+// ageClass returns the age class of a record.
+func (t *task) ageClass(rec *record) int {
 	return min(ageClasses-1, bits.Len64(uint64(max(0, int64(t.tick)-int64(rec.opened)))))
 }
 
-// Tick does the periodic work, a bounded part of it each time: expiry, probes
-// of idle flows, and copies for idle flows. It is called every 100 ms.
+// Tick does a bounded part of the periodic work: expiry, probes and copies of
+// idle flows. It must be called every 100 ms.
 func (r *Router) Tick(now time.Time, out *baobabstep.Outbox) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ticked.Store(r.tick(now))
+	r.lastTick.Store(r.tick(now))
 	snap := r.current.Load()
 	if snap.config == nil || snap.view == nil {
 		return
 	}
-	r.scan.ackedBy = nil
-	left := r.positions()/passTicks + lockedRecords
+	r.scan.lastAckByDataCentre = nil
+	left := r.positions()/scanTicks + maxRecordsPerLock
 	for n := 0; left > 0 && n <= len(r.shards); {
 		s := r.shards[r.scan.shard]
-		todo := min(uint32(left), lockedRecords)
+		todo := min(uint32(left), maxRecordsPerLock)
 		done, end := r.visitPart(now, snap, s, r.scan.pos, todo, out)
 		left -= int(done)
 		r.scan.pos += done
@@ -74,7 +79,7 @@
 	}
 }
 
-// positions returns the size of the table.
+// positions returns the number of positions in the table.
 func (r *Router) positions() (n int) {
 	for _, s := range r.shards {
 		s.mu.Lock()
@@ -84,31 +89,31 @@
 	return n
 }
 
-// visitPart visits at most n positions of a shard and tells whether its end was
-// reached.
+// visitPart visits at most n positions of a shard and reports whether it
+// reached the shard's end.
 func (r *Router) visitPart(now time.Time, snap *snapshot, s *shard, from, n uint32, out *baobabstep.Outbox) (done uint32, end bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size := s.size()
 	to := min(size, from+n)
-	t := turn{r: r, snap: snap, s: s, now: now, tick: r.tick(now), out: out}
+	t := task{r: r, snap: snap, s: s, now: now, tick: r.tick(now), out: out}
 	for pos := from; pos < to; pos++ {
-		if rec := s.at(pos); rec.state != StateFree {
-			t.turnTo(rec)
-			r.visit(&t, rec)
+		if rec := s.recordAt(pos); rec.state != StateFree {
+			t.setRecord(rec)
+			r.visitRecord(&t, rec)
 		}
 	}
 	return max(to, from) - from, to >= size
 }
 
-// turnTo makes a turn about a record, for work that no packet asked for.
-func (t *turn) turnTo(rec *record) {
-	t.rec, t.hash, t.gotOwn = rec, rec.hash, false
+// setRecord points the task at a record, for work without a packet.
+func (t *task) setRecord(rec *record) {
+	t.rec, t.hash, t.ownersCached = rec, rec.hash, false
 }
 
-// nextShard moves the scan on. After the last shard it decides from which age
-// the next pass makes copies: the oldest that fit the budget go first, since a
-// long flow is the one that will still be there.
+// nextShard advances the scan. After the last shard it chooses the youngest
+// age class that the next scan replicates: the oldest flows that fit the
+// budget come first, since they are the most likely to last.
 func (r *Router) nextShard() {
 	r.scan.pos = 0
 	r.scan.shard++
@@ -116,59 +121,59 @@
 		return
 	}
 	r.scan.shard = 0
-	fit := int(r.o.RepairBytesPerSecond * passTicks * tickLength.Seconds() / learnBytes)
+	fit := int(r.opts.RepairBytesPerSecond * scanTicks * tickLength.Seconds() / recordExchangeBytes)
 	least := ageClasses - 1
 	for sum := r.scan.pending[least]; least > 0 && sum < fit; sum += r.scan.pending[least] {
 		least--
 	}
-	r.scan.least = least
-	r.scan.spare = r.scan.pending == [ageClasses]int{}
+	r.scan.minClass = least
+	r.scan.allCopied = r.scan.pending == [ageClasses]int{}
 	r.scan.pending = [ageClasses]int{}
-	clear(r.scan.witnesses)
-	r.scan.silentBefore, r.scan.silent = r.scan.silent, [2]int{}
+	clear(r.scan.pathProbes)
+	r.scan.lastUnanswered, r.scan.unanswered = r.scan.unanswered, [2]int{}
 }
 
-// visit does what is due for one record.
-func (r *Router) visit(t *turn, rec *record) {
+// visitRecord does the periodic work for one record.
+func (r *Router) visitRecord(t *task, rec *record) {
 	switch rec.state {
 	case StateSearching:
-		if since(t.tick, rec.fromCaller) > ticks(searchTTL) {
-			t.drop(rec)
+		if since(t.tick, rec.lastFromCaller) > ticks(searchTTL) {
+			t.dropRecord(rec)
 		}
 	case StateClosed, StateReset:
 		t.repeatClose(rec)
-		if since(t.tick, rec.fromTarget) > ticks(r.o.TombstoneTTL) {
-			t.drop(rec)
+		if since(t.tick, rec.lastFromTarget) > ticks(r.opts.TombstoneTTL) {
+			t.dropRecord(rec)
 		}
 	case StateOpening:
-		t.evaluate(rec)
+		t.refreshRole(rec)
 		t.visitOpening(rec)
 	case StateEstablished:
-		t.evaluate(rec)
+		t.refreshRole(rec)
 		if t.snap.paused {
 			return
 		}
-		if rec.has(flagHolder) && t.checkAlive(rec) {
+		if rec.has(flagHolder) && t.probeIdle(rec) {
 			return
 		}
 		t.checkCopies(rec)
 	}
 }
 
-// visitOpening ends opens that no target answered. Before, the target is asked
-// once: its acceptance may have been lost, and then it holds the flow. A VM that
-// is not the holder leaves that to the holder, who may have died with its copy
-// and have a successor that knows nothing.
-func (t *turn) visitOpening(rec *record) {
-	waited := since(t.tick, rec.fromCaller)
-	limit := ticks(t.r.o.OpenTimeout)
+// visitOpening expires opens that no target answered. After half the time the
+// holder probes the target, since the acceptance may have been lost while the
+// target has the flow. Other VMs leave this to the holder and send it their
+// copy: it may have died, and its successor lacks the record.
+func (t *task) visitOpening(rec *record) {
+	waited := since(t.tick, rec.lastFromCaller)
+	limit := ticks(t.r.opts.OpenTimeout)
 	if !rec.has(flagHolder) {
 		limit *= 2
 	}
 	switch {
 	case waited > limit:
 		t.count(EventOpenExpired)
-		t.drop(rec)
+		t.dropRecord(rec)
 	case waited > limit/2 && rec.has(flagHolder) && rec.countProbes(toTarget) == 0 && !t.snap.paused:
 		t.probe(rec, toTarget)
 	case waited > limit/2 && !rec.has(flagHolder) && !t.snap.paused:
@@ -176,27 +181,30 @@
 	}
 }
 
-// surplusTTL is how long a VM keeps a record that it handed over.
+// surplusTTL is how long a VM that is no owner keeps a record after handing it
+// over.
 const surplusTTL = time.Minute
 
-// checkCopies sends the record to an owner that may lack it, within the budget.
-func (t *turn) checkCopies(rec *record) {
+// checkCopies sends the record to an owner that may lack it, within the repair
+// budget.
+func (t *task) checkCopies(rec *record) {
 	owner := rec.has(flagHolder) || rec.has(flagSecond)
 	if rec.has(flagCopied) {
 		if !owner && since16(t.tick, rec.lastRepair) > ticks(surplusTTL) {
 			t.count(EventSurplusDropped)
-			t.drop(rec)
+			t.dropRecord(rec)
 		}
 		if rec.has(flagSecond) {
 			t.audit(rec)
 		}
 		return
 	}
-	if rec.detail == detailDoubt && !t.endDoubt(rec) {
+	if rec.detail == detailVerifying && !t.verifyTimedOut(rec) {
 		return
 	}
-	if rec.has(flagVia) && !rec.has(flagConfirmed) {
-		// The caller's next packet, or its answer to a probe, will confirm.
+	if rec.has(flagViaOwner) && !rec.has(flagConfirmed) {
+		// The caller's next packet or probe acknowledgement will
+		// confirm the copy.
 		return
 	}
 	other := t.otherOwner()
@@ -205,33 +213,33 @@
 	}
 	class := t.ageClass(rec)
 	t.r.scan.pending[class]++
-	if class < t.r.scan.least || !t.repairDue(rec) || !t.r.repairs.take(t.now, learnBytes) {
+	if class < t.r.scan.minClass || !t.repairDue(rec) || !t.r.repairs.take(t.now, recordExchangeBytes) {
 		return
 	}
 	t.count(EventRepaired)
 	rec.lastRepair = uint16(t.tick)
-	rec.set(flagTried)
-	t.teach(other, rec)
+	rec.set(flagRepairSent)
+	t.sendRecord(other, rec)
 }
 
-// audit compares the second copy of an idle flow with its holder once in a long
-// while. The message that the flow ended may have been lost, and only the
-// holder probes, so the copy would stay for good. A holder that lost the record
-// gets it back this way.
-func (t *turn) audit(rec *record) {
-	idle := min(since(t.tick, rec.fromCaller), since(t.tick, rec.fromTarget))
-	limit := ticks(t.r.o.AuditAfter)
-	if idle < limit || rec.has(flagTried) && since16(t.tick, rec.lastRepair) < limit || !t.r.scan.spare {
+// audit compares the second copy of an idle flow with the holder, at most once
+// per Options.AuditAfter. If the notice of the flow's end was lost, the copy
+// would otherwise stay forever, since only the holder probes. A holder that
+// lost the record receives it again.
+func (t *task) audit(rec *record) {
+	idle := min(since(t.tick, rec.lastFromCaller), since(t.tick, rec.lastFromTarget))
+	limit := ticks(t.r.opts.AuditAfter)
+	if idle < limit || rec.has(flagRepairSent) && since16(t.tick, rec.lastRepair) < limit || !t.r.scan.allCopied {
 		return
 	}
 	holder := t.owners().Holder
-	if t.suspect(holder) || !t.r.repairs.take(t.now, learnBytes) {
+	if t.isSuspect(holder) || !t.r.repairs.take(t.now, recordExchangeBytes) {
 		return
 	}
 	t.count(EventAudited)
 	rec.lastRepair = uint16(t.tick)
-	rec.set(flagTried)
-	t.teach(holder, rec)
+	rec.set(flagRepairSent)
+	t.sendRecord(holder, rec)
 }
 
 // stopRecords and stopSends bound the work of one call of Stop.
@@ -240,12 +248,12 @@
 	stopSends   = 256
 )
 
-// Stop hands the records over to the VMs that stay, in bounded pieces. It is
-// called, some ten times a second and between other packets, until it returns
-// 0, the number of flows that no other VM is known to have. Most have a second
-// copy already, and only the others are sent.
+// Stop hands the records over to the remaining VMs in bounded steps. Call it
+// about ten times a second, between packets, until it returns 0: the number of
+// flows that no other VM is known to have. Flows with a second copy are not
+// sent.
 func (r *Router) Stop(now time.Time, out *baobabstep.Outbox) (remaining int) {
-	r.leave(now)
+	r.startLeaving(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	snap := r.current.Load()
@@ -259,9 +267,10 @@
 	return remaining
 }
 
-// leave takes the VM out of its own table, so that it owns nothing any more.
-func (r *Router) leave(now time.Time) {
-	r.change(func(s *snapshot) {
+// startLeaving removes the VM from its own owner table, so that it owns no
+// flows.
+func (r *Router) startLeaving(now time.Time) {
+	r.updateSnapshot(func(s *snapshot) {
 		if s.leaving {
 			return
 		}
@@ -272,20 +281,20 @@
 	})
 }
 
-// stopShard sends records of one shard that only this VM may have, and returns
-// how many there are.
+// stopShard sends the records of one shard that no other VM is known to have,
+// and returns their number.
 func (r *Router) stopShard(now time.Time, snap *snapshot, s *shard, sends *int, out *baobabstep.Outbox) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := turn{r: r, snap: snap, s: s, now: now, tick: r.tick(now), out: out}
+	t := task{r: r, snap: snap, s: s, now: now, tick: r.tick(now), out: out}
 	for pos := range s.size() {
-		rec := s.at(pos)
+		rec := s.recordAt(pos)
 		if !rec.live() {
 			continue
 		}
-		t.turnTo(rec)
-		t.evaluate(rec)
-		if rec.has(flagCopied) || t.keptByOther(rec) {
+		t.setRecord(rec)
+		t.refreshRole(rec)
+		if rec.has(flagCopied) || t.hasOtherCopy(rec) {
 			continue
 		}
 		remaining++
@@ -297,37 +306,37 @@
 	return remaining
 }
 
-// handOver sends the record to both present owners.
-func (t *turn) handOver(rec *record) {
+// handOver sends the record to both current owners.
+func (t *task) handOver(rec *record) {
 	t.count(EventHandedOver)
 	rec.lastRepair = uint16(t.tick)
-	rec.set(flagTried)
+	rec.set(flagRepairSent)
 	o := t.owners()
-	t.teach(o.Holder, rec)
+	t.sendRecord(o.Holder, rec)
 	if o.Second != 0 {
-		t.teach(o.Second, rec)
+		t.sendRecord(o.Second, rec)
 	}
 }
 
-// keptByOther tells whether a VM that stays is known to have the record: its
-// copies were confirmed under an earlier table, and one of the owners of then
-// is another VM that is still a member.
-func (t *turn) keptByOther(rec *record) bool {
+// hasOtherCopy reports whether a remaining VM is known to have the record: its
+// copies were confirmed under an earlier owner table, and one of those owners
+// is another active member.
+func (t *task) hasOtherCopy(rec *record) bool {
 	for i := range t.snap.history {
 		o := t.ownersUnder(t.snap.history[i].Table)
-		if rec.copies == t.fingerprint(o) && (t.stays(o.Holder) || t.stays(o.Second)) {
+		if rec.copyFingerprint == t.fingerprint(o) && (t.isActiveMember(o.Holder) || t.isActiveMember(o.Second)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *turn) stays(vm baobabstep.VMID) bool {
+func (t *task) isActiveMember(vm baobabstep.VMID) bool {
 	state, member := t.snap.states[vm]
-	return member && state != baobabstep.VMSuspect && vm != t.r.o.Self
+	return member && state != baobabstep.VMSuspect && vm != t.r.opts.Self
 }
 
-// ownersUnder returns the owners under another table.
-func (t *turn) ownersUnder(table *place.Table) place.Owners {
+// ownersUnder returns the flow's owners in the given table.
+func (t *task) ownersUnder(table *place.Table) place.Owners {
 	return table.Owners(t.hash, t.dataCentres())
 }
