--- a/core/flow/conflict_test.go
+++ b/core/flow/conflict_test.go
@@ -23,18 +23,18 @@
 }
 
 // VMs receive the records of one flow in different orders. They agree only if
-// Beats is a strict total order: of two different records exactly one wins,
-// and there is no cycle.
+// HasPrecedence is a strict total order: of two different records exactly one
+// wins, and there is no cycle.
 func TestOrderOfRecordsIsTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
-		if flow.Beats(a, b) && flow.Beats(b, a) {
+		if flow.HasPrecedence(a, b) && flow.HasPrecedence(b, a) {
 			t.Fatalf("both win: %+v %+v", a, b)
 		}
-		if !flow.Beats(a, b) && !flow.Beats(b, a) && a.Target != b.Target {
+		if !flow.HasPrecedence(a, b) && !flow.HasPrecedence(b, a) && a.Target != b.Target {
 			t.Fatalf("neither wins: %+v %+v", a, b)
 		}
-		if flow.Beats(a, b) && flow.Beats(b, c) && !flow.Beats(a, c) {
+		if flow.HasPrecedence(a, b) && flow.HasPrecedence(b, c) && !flow.HasPrecedence(a, c) {
 			t.Fatalf("cycle: %+v %+v %+v", a, b, c)
 		}
 	})
--- a/core/flow/copies.go
+++ b/core/flow/copies.go
@@ -293,8 +293,8 @@
 	return t.r.reg.target(rec.target).id != in.Target || rec.state == StateEstablished && !in.Established
 }
 
-// normalizedRecord returns the packet's record with the fields that Beats
-// compares limited to the sizes stored in a record.
+// normalizedRecord returns the packet's record with the fields that
+// HasPrecedence compares limited to the sizes stored in a record.
 func (t *task) normalizedRecord() baobabstep.Record {
 	in := t.p.Route.Record
 	in.Version = uint64(clampVersion(in.Version))
@@ -306,9 +306,9 @@
 // resulting record, or nil if there is none.
 //
 // Two records of one flow arise when two VMs held it at once, such as on two
-// sides of a partition. The order of Beats makes all VMs keep the same one;
-// the target of the other gets a reset, since no VM would send it packets of
-// the flow.
+// sides of a partition. The order of HasPrecedence makes all VMs keep the same
+// one; the target of the other gets a reset, since no VM would send it packets
+// of the flow.
 func (t *task) mergeReceived() *record {
 	in := t.normalizedRecord()
 	if in.Target == 0 || in.Service == 0 {
@@ -328,7 +328,7 @@
 		t.mergeSameTarget(rec, own, in)
 	case own.Confirmed && in.Confirmed:
 		t.resetBoth(rec, in)
-	case Beats(in, own):
+	case HasPrecedence(in, own):
 		t.replaceRecord(rec, own, in)
 	default:
 		t.countConflict(own, in)
@@ -339,7 +339,7 @@
 
 // mergeSameTarget merges a record of the same flow with the same target.
 func (t *task) mergeSameTarget(rec *record, own, in baobabstep.Record) {
-	if Beats(in, own) {
+	if HasPrecedence(in, own) {
 		rec.version = clampVersion(in.Version)
 		rec.setAttempt(in.Attempt)
 	}
@@ -415,7 +415,7 @@
 func (t *task) countConflict(a, b baobabstep.Record) {
 	t.count(EventConflict)
 	if a.Established && b.Established {
-		t.count(EventConflictOfTwo)
+		t.count(EventConflictOfEstablished)
 	}
 }
 
@@ -443,7 +443,7 @@
 	t.refreshRole(rec)
 	o := t.owners()
 	if o.Has(t.p.Route.From) {
-		t.count(EventConfirmed)
+		t.count(EventCopyConfirmed)
 		t.setCopied(rec)
 	}
 }
--- a/core/flow/event.go
+++ b/core/flow/event.go
@@ -7,51 +7,51 @@
 
 // Events. The line comment of each is its name in metrics.
 const (
-	EventForwarded          Event = iota // forwarded
-	EventAsked                           // asked_previous_owner
-	EventReturned                        // returned_exhausted
-	EventOpened                          // flow_opened
-	EventEstablished                     // flow_established
-	EventClosed                          // flow_closed
-	EventReset                           // flow_reset
-	EventRefusedByTarget                 // open_refused_by_target
-	EventOpenRefused                     // open_refused
-	EventOpenRepeated                    // open_repeated
-	EventOpenExpired                     // open_expired
-	EventHalfOpenEvicted                 // half_open_evicted
-	EventHalfOpenLimit                   // half_open_limit
-	EventReplicated                      // replicated
-	EventSingleCopy                      // single_copy
-	EventLearned                         // learned
-	EventConfirmed                       // copy_confirmed
-	EventConflict                        // conflict
-	EventConflictOfTwo                   // conflict_of_established
-	EventRepaired                        // repair_sent
-	EventAudited                         // copy_audited
-	EventHandedOver                      // handed_over
-	EventSurplusDropped                  // surplus_dropped
-	EventRecovered                       // recovered_from_target
-	EventSearched                        // target_search
-	EventSearchLimit                     // target_search_limit
-	EventUnknownReset                    // unknown_flow_reset
-	EventDroppedUnsure                   // dropped_unsure
-	EventDroppedPaused                   // dropped_paused
-	EventDroppedNotReady                 // dropped_not_ready
-	EventDroppedLate                     // dropped_late
-	EventDroppedWrongTarget              // dropped_wrong_target
-	EventDroppedUnknown                  // dropped_unknown
-	EventDroppedInvalid                  // dropped_invalid
-	EventDroppedLoop                     // dropped_loop
-	EventServiceMoved                    // service_moved
-	EventTargetTaken                     // target_address_taken
-	EventQuarantined                     // target_quarantined
-	EventDrainedPicked                   // drained_target_picked
-	EventProbed                          // probe_sent
-	EventProbeLimit                      // probe_limit
-	EventSilent                          // flow_silent
-	EventSilentHeld                      // flow_silent_held
-	EventPathSuspected                   // path_suspected
-	EventInvariant                       // invariant_broken
+	EventForwarded             Event = iota // forwarded
+	EventAskedPreviousOwner                 // asked_previous_owner
+	EventReturnedExhausted                  // returned_exhausted
+	EventOpened                             // flow_opened
+	EventEstablished                        // flow_established
+	EventClosed                             // flow_closed
+	EventReset                              // flow_reset
+	EventRefusedByTarget                    // open_refused_by_target
+	EventOpenRefused                        // open_refused
+	EventOpenRepeated                       // open_repeated
+	EventOpenExpired                        // open_expired
+	EventHalfOpenEvicted                    // half_open_evicted
+	EventHalfOpenLimit                      // half_open_limit
+	EventReplicated                         // replicated
+	EventSingleCopy                         // single_copy
+	EventLearned                            // learned
+	EventCopyConfirmed                      // copy_confirmed
+	EventConflict                           // conflict
+	EventConflictOfEstablished              // conflict_of_established
+	EventRepairSent                         // repair_sent
+	EventCopyAudited                        // copy_audited
+	EventHandedOver                         // handed_over
+	EventSurplusDropped                     // surplus_dropped
+	EventRecoveredFromTarget                // recovered_from_target
+	EventTargetSearch                       // target_search
+	EventTargetSearchLimit                  // target_search_limit
+	EventUnknownFlowReset                   // unknown_flow_reset
+	EventDroppedUnsure                      // dropped_unsure
+	EventDroppedPaused                      // dropped_paused
+	EventDroppedNotReady                    // dropped_not_ready
+	EventDroppedLate                        // dropped_late
+	EventDroppedWrongTarget                 // dropped_wrong_target
+	EventDroppedUnknown                     // dropped_unknown
+	EventDroppedInvalid                     // dropped_invalid
+	EventDroppedLoop                        // dropped_loop
+	EventServiceMoved                       // service_moved
+	EventTargetAddressTaken                 // target_address_taken
+	EventTargetQuarantined                  // target_quarantined
+	EventDrainedTargetPicked                // drained_target_picked
+	EventProbeSent                          // probe_sent
+	EventProbeLimit                         // probe_limit
+	EventFlowSilent                         // flow_silent
+	EventFlowSilentHeld                     // flow_silent_held
+	EventPathSuspected                      // path_suspected
+	EventInvariantBroken                    // invariant_broken
 	numEvents
 )
 
--- a/core/flow/find.go
+++ b/core/flow/find.go
@@ -43,7 +43,7 @@
 		t.decideAsHolder()
 		return
 	}
-	t.count(EventReturned)
+	t.count(EventReturnedExhausted)
 	t.forward(holder)
 	(*t.out)[len(*t.out)-1].Packet.Route.Exhausted = true
 }
@@ -79,14 +79,14 @@
 // nextForOpen returns the next VM for an open, or 0 if this VM should handle
 // it. The open may be a repetition whose record is with the previous owners;
 // missing that record would open the flow on a second target. Previous owners
-// are asked only for Options.OpenSearch after a view change, and only if they
-// share no VM with the current ones: a shared holder has the record itself,
-// and a shared second copy is on the open's path.
+// are asked only for Options.OpenSearchWindow after a view change, and only if
+// they share no VM with the current ones: a shared holder has the record
+// itself, and a shared second copy is on the open's path.
 func (t *task) nextForOpen() baobabstep.VMID {
 	o := t.owners()
 	for i := range t.snap.history {
 		past := &t.snap.history[i]
-		if t.now.Sub(past.Until) > t.r.opts.OpenSearch {
+		if t.now.Sub(past.Until) > t.r.opts.OpenSearchWindow {
 			break
 		}
 		before := t.ownersUnder(past.Table)
@@ -94,7 +94,7 @@
 			continue
 		}
 		if next := t.pickUntried(before); next != 0 {
-			t.count(EventAsked)
+			t.count(EventAskedPreviousOwner)
 			return next
 		}
 	}
@@ -208,7 +208,7 @@
 		return
 	}
 	t.dropSearch()
-	t.count(EventRecovered)
+	t.count(EventRecoveredFromTarget)
 	rec := t.createRecord(sv, StateEstablished, 0)
 	t.assignTarget(rec, tg, false)
 	rec.version = clampVersion(t.p.Version)
@@ -240,13 +240,13 @@
 		return
 	}
 	switch waited := since(t.tick, searchRec.lastFromCaller); {
-	case waited < ticks(t.r.opts.SearchWait):
+	case waited < ticks(t.r.opts.SearchTimeout):
 		t.count(EventDroppedUnknown)
 	case t.mayBeIsolated():
 		t.count(EventDroppedUnsure)
 		t.dropRecord(searchRec)
 	default:
-		t.count(EventUnknownReset)
+		t.count(EventUnknownFlowReset)
 		t.dropRecord(searchRec)
 		t.resetCaller(baobabstep.CodeUnknownFlow, 0)
 	}
@@ -263,10 +263,10 @@
 	asked := 0
 	t.r.reg.targetsOf(id, func(*target) { asked++ })
 	if !t.r.searches.take(t.now, float64(min(asked, maxSearched))) {
-		t.count(EventSearchLimit)
+		t.count(EventTargetSearchLimit)
 		return
 	}
-	t.count(EventSearched)
+	t.count(EventTargetSearch)
 	t.createRecord(sv, StateSearching, 0)
 	asked = 0
 	t.r.reg.targetsOf(id, func(tg *target) {
--- a/core/flow/fleet_change_test.go
+++ b/core/flow/fleet_change_test.go
@@ -12,9 +12,9 @@
 
 // A target loses one flow of many while its caller keeps sending, and the
 // fleet changes at that moment: a VM dies, or the flow's holder resumes after
-// a pause. Unanswered probes of targets must count before Options.Grace (10 s)
-// is over, since the caller times out after 8 s and then does not know that it
-// may reconnect at once.
+// a pause. Unanswered probes of targets must count before Options.GracePeriod
+// (10 s) is over, since the caller times out after 8 s and then does not know
+// that it may reconnect at once.
 func TestForgottenFlowIsResetWhileTheFleetChanges(t *testing.T) {
 	t.Parallel()
 	others := func(x *testNetwork, id baobabstep.VMID) []baobabstep.VM {
--- a/core/flow/flow.go
+++ b/core/flow/flow.go
@@ -26,8 +26,8 @@
 //     target rebuilds a lost record. For a caller's packet without a record, the
 //     targets of the service are probed, and the caller gets "unknown flow" only
 //     if none of them answers for it.
-//   - Conflicting records of one flow are ordered by [Beats], identically on
-//     every VM. The target of the losing record gets a reset.
+//   - Conflicting records of one flow are ordered by [HasPrecedence], identically
+//     on every VM. The target of the losing record gets a reset.
 //   - The target of an established record changes only if that record loses such
 //     a conflict.
 //
@@ -84,28 +84,28 @@
 	// TombstoneTTL is how long the record of an ended flow is kept to
 	// answer late packets (30 s).
 	TombstoneTTL time.Duration
-	// OpenSearch is how long after a view change an open is first
+	// OpenSearchWindow is how long after a view change an open is first
 	// forwarded to the previous owners (10 s).
-	OpenSearch time.Duration
-	// Grace is the time after start, a pause or the loss of many VMs
+	OpenSearchWindow time.Duration
+	// GracePeriod is the time after start, a pause or the loss of many VMs
 	// during which no flow is declared unknown or silent (10 s).
-	Grace time.Duration
-	// SearchWait is how long targets may take to answer probes for a flow
-	// without a record (1 s).
-	SearchWait time.Duration
-	// IdleProbe is how long one direction may be idle before it is probed
-	// (15 s).
-	IdleProbe time.Duration
+	GracePeriod time.Duration
+	// SearchTimeout is how long targets may take to answer probes for a
+	// flow without a record (1 s).
+	SearchTimeout time.Duration
+	// IdleProbeAfter is how long one direction may be idle before it is
+	// probed (15 s).
+	IdleProbeAfter time.Duration
 	// ProbeInterval is the time between probes (2 s).
 	ProbeInterval time.Duration
-	// AnswerWait is how long a target may leave its caller's packet
+	// AnswerTimeout is how long a target may leave its caller's packet
 	// unanswered before it is probed (2 s), and AnswerProbeInterval the
 	// time between such probes (1 s). If the target lost the flow, the
 	// caller gets a reset after about 5 s.
-	AnswerWait, AnswerProbeInterval time.Duration
-	// MaxHold bounds how long resets of silent flows are withheld while
-	// the VM itself may be disconnected (2 h).
-	MaxHold time.Duration
+	AnswerTimeout, AnswerProbeInterval time.Duration
+	// MaxResetHold bounds how long resets of silent flows are withheld
+	// while the VM itself may be disconnected (2 h).
+	MaxResetHold time.Duration
 	// AuditAfter is the idle time after which the second copy of a flow is
 	// compared with the holder, if the repair budget is otherwise unused
 	// (100 min, which is also the maximum).
@@ -129,14 +129,14 @@
 	o.OpenTimeout = cmp.Or(o.OpenTimeout, 10*time.Second)
 	o.ConfirmAfter = cmp.Or(o.ConfirmAfter, 3*time.Second)
 	o.TombstoneTTL = cmp.Or(o.TombstoneTTL, 30*time.Second)
-	o.OpenSearch = cmp.Or(o.OpenSearch, 10*time.Second)
-	o.Grace = cmp.Or(o.Grace, 10*time.Second)
-	o.SearchWait = cmp.Or(o.SearchWait, time.Second)
-	o.IdleProbe = cmp.Or(o.IdleProbe, 15*time.Second)
+	o.OpenSearchWindow = cmp.Or(o.OpenSearchWindow, 10*time.Second)
+	o.GracePeriod = cmp.Or(o.GracePeriod, 10*time.Second)
+	o.SearchTimeout = cmp.Or(o.SearchTimeout, time.Second)
+	o.IdleProbeAfter = cmp.Or(o.IdleProbeAfter, 15*time.Second)
 	o.ProbeInterval = cmp.Or(o.ProbeInterval, 2*time.Second)
-	o.AnswerWait = cmp.Or(o.AnswerWait, 2*time.Second)
+	o.AnswerTimeout = cmp.Or(o.AnswerTimeout, 2*time.Second)
 	o.AnswerProbeInterval = cmp.Or(o.AnswerProbeInterval, time.Second)
-	o.MaxHold = cmp.Or(o.MaxHold, 2*time.Hour)
+	o.MaxResetHold = cmp.Or(o.MaxResetHold, 2*time.Hour)
 	o.AuditAfter = cmp.Or(o.AuditAfter, maxAudit)
 	o.AuditAfter = min(o.AuditAfter, maxAudit)
 	o.ProbesPerSecond = cmp.Or(o.ProbesPerSecond, 8000)
@@ -223,7 +223,7 @@
 		states:    map[baobabstep.VMID]baobabstep.VMState{},
 		table:     place.New(&baobabstep.View{}),
 		changedAt: now,
-		graceEnd:  now.Add(o.Grace),
+		graceEnd:  now.Add(o.GracePeriod),
 	})
 	return r
 }
@@ -287,7 +287,7 @@
 		}
 	}
 	if lost > 1 && lost*massLossDivisor >= len(s.states) {
-		s.graceEnd = now.Add(r.opts.Grace)
+		s.graceEnd = now.Add(r.opts.GracePeriod)
 	}
 	first := s.view == nil
 	if s.updateEpochs(members) {
@@ -349,7 +349,7 @@
 func (r *Router) SetPaused(now time.Time, paused bool) {
 	r.updateSnapshot(func(s *snapshot) {
 		if s.paused && !paused {
-			s.graceEnd = now.Add(r.opts.Grace)
+			s.graceEnd = now.Add(r.opts.GracePeriod)
 			s.gen++
 		}
 		s.paused = paused
--- a/core/flow/handle.go
+++ b/core/flow/handle.go
@@ -59,7 +59,7 @@
 
 // reportInvariant counts and reports a violated invariant.
 func (t *task) reportInvariant(name, format string, args ...any) {
-	t.count(EventInvariant)
+	t.count(EventInvariantBroken)
 	if t.r.opts.Invariant != nil {
 		t.r.opts.Invariant(name, fmt.Sprintf("%v: ", t.flowKey())+fmt.Sprintf(format, args...))
 	}
@@ -240,9 +240,9 @@
 }
 
 // viewStable reports whether this VM's view has been certain for
-// Options.Grace, so that no other VM can have opened its flows again.
+// Options.GracePeriod, so that no other VM can have opened its flows again.
 func (t *task) viewStable() bool {
-	return !t.mayBeIsolated() && t.now.Sub(t.snap.changedAt) >= t.r.opts.Grace
+	return !t.mayBeIsolated() && t.now.Sub(t.snap.changedAt) >= t.r.opts.GracePeriod
 }
 
 // markInUse records that the caller sends data to the record's target. If the
--- a/core/flow/live.go
+++ b/core/flow/live.go
@@ -16,7 +16,7 @@
 	if d == toTarget && tg.addressTaken.Load() {
 		return
 	}
-	t.count(EventProbed)
+	t.count(EventProbeSent)
 	rec.setProbes(d, max(1, rec.countProbes(d)))
 	rec.lastProbe = uint16(t.tick)
 	dest := baobabstep.DestCaller
@@ -118,9 +118,9 @@
 		return ticks(t.r.opts.ConfirmAfter)
 	}
 	if t.awaitsTarget(rec, d) {
-		return ticks(t.r.opts.AnswerWait)
+		return ticks(t.r.opts.AnswerTimeout)
 	}
-	limit := ticks(t.r.opts.IdleProbe)
+	limit := ticks(t.r.opts.IdleProbeAfter)
 	return limit - limit*uint32(rec.hash[15])/1024
 }
 
@@ -150,14 +150,14 @@
 	if weight == 0 {
 		t.holdReset(rec, d)
 	}
-	if since(t.tick, t.lastHeard(rec, d)) > ticks(t.r.opts.MaxHold) {
+	if since(t.tick, t.lastHeard(rec, d)) > ticks(t.r.opts.MaxResetHold) {
 		weight = silenceThreshold
 	}
 	rec.setProbes(d, rec.countProbes(d)+weight)
 	if rec.countProbes(d) < silenceThreshold {
 		return false
 	}
-	t.count(EventSilent)
+	t.count(EventFlowSilent)
 	t.resetFlow(rec, baobabstep.CodeFlowSilent)
 	return true
 }
@@ -171,21 +171,21 @@
 //
 // A caller's packets may arrive only at VMs that this VM cannot reach, even
 // while other callers answer. So unanswered probes of callers do not count
-// while the view is unsure or within Options.Grace after a change.
+// while the view is unsure or within Options.GracePeriod after a change.
 //
 // A target's packets arrive at this VM or at none, and only probes that it
 // missed while it answered others count against it. So settleTime suffices:
-// waiting for Options.Grace would take longer than a caller's own timeout, and
-// the caller of a flow that its target lost would not learn that it may
-// reconnect at once.
+// waiting for Options.GracePeriod would take longer than a caller's own
+// timeout, and the caller of a flow that its target lost would not learn that
+// it may reconnect at once.
 func (t *task) silenceCounts(d direction) bool {
 	if t.snap.paused {
 		return false
 	}
-	graceEnd, wait := t.snap.graceEnd, t.r.opts.Grace
+	graceEnd, wait := t.snap.graceEnd, t.r.opts.GracePeriod
 	if d == toTarget {
 		wait = min(settleTime, wait)
-		graceEnd = graceEnd.Add(wait - t.r.opts.Grace)
+		graceEnd = graceEnd.Add(wait - t.r.opts.GracePeriod)
 	}
 	settled := !t.now.Before(graceEnd) && t.now.Sub(t.snap.changedAt) >= wait
 	return settled && (d == toTarget || !t.snap.view.Unsure)
@@ -253,7 +253,7 @@
 // holdReset counts a silent flow that is not reset because its path is
 // suspected.
 func (t *task) holdReset(rec *record, d direction) {
-	t.count(EventSilentHeld)
+	t.count(EventFlowSilentHeld)
 	if d == toCaller {
 		return
 	}
--- a/core/flow/open.go
+++ b/core/flow/open.go
@@ -59,9 +59,9 @@
 			return i, baobabstep.CodeOK
 		}
 		if drained {
-			t.count(EventDrainedPicked)
+			t.count(EventDrainedTargetPicked)
 		} else {
-			t.count(EventQuarantined)
+			t.count(EventTargetQuarantined)
 		}
 		t.r.opts.Chooser.FlowClosed(t.now, id)
 	}
--- a/core/flow/record.go
+++ b/core/flow/record.go
@@ -200,10 +200,10 @@
 // clampVersion limits a version to the 32 bits stored in a record.
 func clampVersion(v uint64) uint32 { return uint32(min(v, math.MaxUint32)) }
 
-// Beats reports whether record a wins over b when two VMs hold different
-// records of one flow. It is a strict total order on (established, confirmed,
-// attempt, version, target), so VMs agree in whatever order they receive the
-// records, and it needs no clock:
+// HasPrecedence reports whether record a wins over b when two VMs hold
+// different records of one flow. It is a strict total order on (established,
+// confirmed, attempt, version, target), so VMs agree in whatever order they
+// receive the records, and it needs no clock:
 //
 //   - an established flow wins over one that is still opening;
 //   - a flow that its caller is known to use wins over one that may be left over
@@ -211,7 +211,7 @@
 //   - among opening flows the later attempt wins, since the earlier was refused;
 //   - then the lower version wins, as the earlier choice;
 //   - then the lower target ID wins.
-func Beats(a, b baobabstep.Record) bool {
+func HasPrecedence(a, b baobabstep.Record) bool {
 	if a.Established != b.Established {
 		return a.Established
 	}
--- a/core/flow/send.go
+++ b/core/flow/send.go
@@ -139,7 +139,7 @@
 		return false
 	}
 	if tg.addressTaken.Load() {
-		t.count(EventTargetTaken)
+		t.count(EventTargetAddressTaken)
 		t.resetFlow(rec, baobabstep.CodeTargetGone)
 		return false
 	}
--- a/core/flow/tick.go
+++ b/core/flow/tick.go
@@ -216,7 +216,7 @@
 	if class < t.r.scan.minClass || !t.repairDue(rec) || !t.r.repairs.take(t.now, recordExchangeBytes) {
 		return
 	}
-	t.count(EventRepaired)
+	t.count(EventRepairSent)
 	rec.lastRepair = uint16(t.tick)
 	rec.set(flagRepairSent)
 	t.sendRecord(other, rec)
@@ -236,7 +236,7 @@
 	if t.isSuspect(holder) || !t.r.repairs.take(t.now, recordExchangeBytes) {
 		return
 	}
-	t.count(EventAudited)
+	t.count(EventCopyAudited)
 	rec.lastRepair = uint16(t.tick)
 	rec.set(flagRepairSent)
 	t.sendRecord(holder, rec)
