--- a/core/flow/live_test.go
+++ b/core/flow/live_test.go
@@ -52,8 +52,8 @@
 }
 
 // A target silently loses one flow of many while its caller sends every 2 s
-// and would time out after about 8 s. The holder must see that the target owes
-// an answer, probe it every second and reset the flow before that timeout;
+// and would time out after about 8 s. The holder must see that the target has
+// not answered, probe it every second and reset the flow before that timeout;
 // other flows must not be affected.
 func TestForgottenFlowInUseIsResetWithinSeconds(t *testing.T) {
 	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
@@ -134,8 +134,8 @@
 	x.assertAlive(flows...)
 }
 
-// One target dies while its neighbours are alive. Its flows must end within 90
-// s.
+// One target dies while its neighbours are alive. Its flows must end
+// within 90 s.
 func TestFlowsOfADeadTargetEnd(t *testing.T) {
 	t.Parallel()
 	x := newTestNetwork(t, fleet{vms: 9, dcs: 3, targets: 6})
--- a/core/flow/table.go
+++ b/core/flow/table.go
@@ -31,7 +31,7 @@
 	// most cache misses on records of other flows.
 	index []uint32
 	used  int
-	// counts holds the number of records by state, halfOpen that of
+	// counts holds the number of records by state, halfOpenCount that of
 	// half-open ones.
 	counts        [numStates]int
 	halfOpenCount int
--- a/core/flow/testnetwork_test.go
+++ b/core/flow/testnetwork_test.go
@@ -79,7 +79,7 @@
 	silent bool
 }
 
-// fakeChooser picks targets in turn, or always prefer if set.
+// fakeChooser picks targets in turn, or prefer while it is set.
 type fakeChooser struct {
 	next   int
 	prefer baobabstep.TargetID
