--- a/core/member/example_test.go
+++ b/core/member/example_test.go
@@ -9,9 +9,8 @@
 	"baobabstep/core/member"
 )
 
-// Two VMs find each other, since one of them was told of the other, and a
-// planned stop is known at once. The caller carries the messages and tells the
-// time.
+// Two VMs find each other through a seed given to one of them, and a planned stop
+// is known at once. The caller delivers the messages and supplies the time.
 func Example() {
 	now := time.Unix(1_000_000_000, 0)
 	fleets := make(map[baobabstep.VMID]*member.Fleet)
--- a/core/member/export_test.go
+++ b/core/member/export_test.go
@@ -4,11 +4,11 @@
 // another prefer.
 func (f *Fleet) RelayPeers(of, by string) []string {
 	var names []string
-	for _, d := range f.sorted {
+	for _, d := range f.sortedDataCentres {
 		if d.name != of {
 			continue
 		}
-		for _, r := range f.best(d, dataCentreKey(d.region, by), living) {
+		for _, r := range f.rendezvousTop(d, dataCentreKey(d.region, by), notDead) {
 			names = append(names, r.vm.Name)
 		}
 	}
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -12,8 +12,8 @@
 	"baobabstep/core/member"
 )
 
-// state returns what one VM believes of another.
-func (x *exchange) state(by, of string) string {
+// observedState returns the state of one VM as another one knows it.
+func (x *simNetwork) observedState(by, of string) string {
 	for _, vm := range x.fleet(by).All(x.now) {
 		if vm.Name == of {
 			return vm.State.String()
@@ -22,9 +22,9 @@
 	return "unknown"
 }
 
-// until lets time pass until every running VM satisfies done, and returns how
-// long that took.
-func (x *exchange) until(limit time.Duration, done func(f *member.Fleet) bool) time.Duration {
+// runUntil advances the time until done holds for every running VM, and returns the
+// time that took.
+func (x *simNetwork) runUntil(limit time.Duration, done func(f *member.Fleet) bool) time.Duration {
 	x.t.Helper()
 	start := x.now
 	for {
@@ -36,26 +36,25 @@
 			return x.now.Sub(start)
 		}
 		qt.Assert(x.t, x.now.Sub(start) < limit, qt.IsTrue, qt.Commentf("not done after %v", limit))
-		x.run(tick)
+		x.run(tickInterval)
 	}
 }
 
-// sees returns a condition: the view has n members.
-func (x *exchange) sees(n int) func(f *member.Fleet) bool {
+// viewHasSize returns a condition for runUntil: the view has n members.
+func (x *simNetwork) viewHasSize(n int) func(f *member.Fleet) bool {
 	return func(f *member.Fleet) bool { return len(f.View(x.now).Members) == n }
 }
 
-// A caller's packets go to a holder that was killed. Until its peers notice,
-// in its own data centre first and by way of the relays in the others, they
-// are lost: so the time until the last view drops it has to be short.
+// Packets to a killed VM are lost until the views drop it, in its own data centre
+// first and through the relays in the others. The last view must drop it in time.
 func TestKill(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"a0", "a1", "a2", "b0", "b1", "b2", "c0", "c1", "c2"} {
 		t.Run(name, func(t *testing.T) {
-			x := three(t, 9)
+			x := startFleet(t, 9)
 			x.run(time.Duration(x.rand.IntN(1000)) * time.Millisecond)
 			x.kill(name)
-			took := x.until(3500*time.Millisecond, x.sees(8))
+			took := x.runUntil(3500*time.Millisecond, x.viewHasSize(8))
 			t.Logf("out of all views after %v", took)
 			x.run(5 * time.Second)
 			x.assertConverged(8)
@@ -63,14 +62,14 @@
 	}
 }
 
-// A process is killed. Its peers see their connections end at once, and may use
-// that to route around it in a fraction of a second. A connection that ends for
-// another reason must not make a VM that lives suspect.
+// The connections of a killed process end at once, so its peers can route around it
+// within a fraction of a second. A connection that ends for another reason must not
+// make a live VM suspect.
 func TestLostConnection(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
+	x := startFleet(t, 9)
 	lose := func(name string) {
-		for _, id := range x.order() {
+		for _, id := range x.sortedIDs() {
 			if id != x.id(name) {
 				x.send(id, x.fleets[id].Lost(x.now, x.id(name)))
 			}
@@ -86,22 +85,22 @@
 	x.kill("b1")
 	lose("b1")
 	x.run(300 * time.Millisecond)
-	qt.Assert(t, x.state("b0", "b1"), qt.Equals, "VMSuspect")
-	took := x.until(2*time.Second, x.sees(8))
+	qt.Assert(t, x.observedState("b0", "b1"), qt.Equals, "VMSuspect")
+	took := x.runUntil(2*time.Second, x.viewHasSize(8))
 	t.Logf("out of all views after %v", took+300*time.Millisecond)
 	x.run(5 * time.Second)
 	x.assertConverged(8)
 }
 
-// Callers see flows moved for nothing when a VM that lives leaves the views.
-// Messages get lost, doubled and overtaken; suspicions follow, and each has to
-// be refuted in time, since a suspect hears of it from several VMs.
-func TestLossNeverBuriesTheLiving(t *testing.T) {
+// Removing a live VM from the views moves its flows needlessly. Lost, duplicated and
+// reordered messages cause suspicions; each must be refuted in time, since several
+// VMs notify the suspect.
+func TestMessageLossDeclaresNoLiveVMDead(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		name          string
-		vms, ticks    int
-		loss, doubled float64
+		name                    string
+		vms, ticks              int
+		lossRate, duplicateRate float64
 	}{
 		{"lossy", 9, 1000, 0.1, 0},
 		{"doubled and reordered", 9, 1000, 0, 0.3},
@@ -111,10 +110,10 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			x := three(t, test.vms)
-			x.loss, x.doubled = test.loss, test.doubled
+			x := startFleet(t, test.vms)
+			x.lossRate, x.duplicateRate = test.lossRate, test.duplicateRate
 			for range test.ticks {
-				x.run(tick)
+				x.run(tickInterval)
 				for _, f := range x.fleets {
 					qt.Assert(t, f.View(x.now).Members, qt.HasLen, test.vms)
 				}
@@ -126,37 +125,36 @@
 			}
 			t.Logf("%d suspicions", suspicions)
 			qt.Assert(t, deaths, qt.Equals, uint64(0))
-			x.loss = 0
+			x.lossRate = 0
 			x.run(10 * time.Second)
 			x.assertConverged(test.vms)
 		})
 	}
 }
 
-// A holder is paused for longer than its peers wait; its flows move. When it
-// resumes it still believes to hold them, and a caller would get answers from
-// two VMs. So the first thing it is asked or told, whatever that is, has to
-// make it notice, before it acts.
-func TestPauseIsNoticedFirst(t *testing.T) {
+// While a VM is paused for longer than its peers wait, its flows move. When it
+// resumes it still has their records, and a caller would get answers from two VMs.
+// The first call of any kind must detect the pause before the VM acts.
+func TestPauseIsDetectedBeforeActing(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name  string
 		pause time.Duration
-		first func(x *exchange, f *member.Fleet)
+		first func(x *simNetwork, f *member.Fleet)
 	}{
-		{"view first", 6 * time.Second, func(x *exchange, f *member.Fleet) {
+		{"view first", 6 * time.Second, func(x *simNetwork, f *member.Fleet) {
 			qt.Assert(x.t, f.View(x.now).Unsure, qt.IsTrue)
 		}},
-		{"tick first", 6 * time.Second, func(x *exchange, f *member.Fleet) { x.send(x.id("a1"), f.Tick(x.now)) }},
-		{"message first", 6 * time.Second, func(x *exchange, f *member.Fleet) {
+		{"tick first", 6 * time.Second, func(x *simNetwork, f *member.Fleet) { x.send(x.id("a1"), f.Tick(x.now)) }},
+		{"message first", 6 * time.Second, func(x *simNetwork, f *member.Fleet) {
 			x.send(x.id("a1"), f.Handle(x.now, x.id("a0"), nil))
 		}},
-		{"list first", 6 * time.Second, func(x *exchange, f *member.Fleet) { f.Seeds(x.now, x.list("a0")) }},
-		{"short", 1200 * time.Millisecond, func(x *exchange, f *member.Fleet) { f.Paused(x.now) }},
+		{"list first", 6 * time.Second, func(x *simNetwork, f *member.Fleet) { f.Seeds(x.now, x.vmList("a0")) }},
+		{"short", 1200 * time.Millisecond, func(x *simNetwork, f *member.Fleet) { f.Paused(x.now) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := three(t, 9)
+			x := startFleet(t, 9)
 			f := x.fleet("a1")
 			incarnation := ownIncarnation(x, f)
 			x.paused[x.id("a1")] = true
@@ -176,7 +174,7 @@
 	}
 }
 
-func ownIncarnation(x *exchange, f *member.Fleet) uint64 {
+func ownIncarnation(x *simNetwork, f *member.Fleet) uint64 {
 	v := f.View(x.now)
 	for _, vm := range f.All(x.now) {
 		if vm.ID == v.Self {
@@ -186,42 +184,41 @@
 	return 0
 }
 
-// A VM that is slow, though not slow enough to call it a pause, finds the
-// answers to its probes late. It must not blame its peers for its own delay.
+// A VM that is slow, but below PauseLimit, reads the answers to its probes late. It
+// must not suspect its peers for its own delay.
 func TestSlowVMDoesNotBlameOthers(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
+	x := startFleet(t, 9)
 	f := x.fleet("a1")
 	for range 100 {
 		x.paused[x.id("a1")] = true
 		x.run(800 * time.Millisecond)
 		delete(x.paused, x.id("a1"))
-		x.send(x.id("a1"), f.Tick(x.now)) // before it reads what waits
+		x.send(x.id("a1"), f.Tick(x.now)) // before it reads the queued answers
 		x.run(time.Second)
 		qt.Assert(t, f.Stats().Suspicions, qt.Equals, uint64(0))
 	}
 	qt.Assert(t, f.Stats().Pauses, qt.Equals, uint64(0))
 }
 
-// A VM that is alone must not wait for peers for ever after a pause: callers
-// would be refused by the only VM there is.
+// A VM without peers must not wait for them indefinitely after a pause, or the only
+// VM would refuse all callers.
 func TestPauseAlone(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t)
+	x := newSimNetwork(t)
 	f := x.start("a0", "a")
 	x.run(5 * time.Second)
 	qt.Assert(t, f.View(x.now).Unsure, qt.IsFalse)
 	x.now = x.now.Add(10 * time.Second)
 	qt.Assert(t, f.Paused(x.now), qt.IsTrue)
-	x.run(member.DefaultRejoinTimeout + tick)
+	x.run(member.DefaultRejoinTimeout + tickInterval)
 	qt.Assert(t, f.Paused(x.now), qt.IsFalse)
 }
 
-// A VM that was replaced comes back under its name with nothing in memory, not
-// even its last incarnation. If its peers took it for the earlier life, they
-// would send it packets of flows that it no longer holds, or bury it again for
-// the silence of its predecessor.
-func TestReturn(t *testing.T) {
+// A VM restarts under its name without any state, not even its last incarnation. If
+// its peers took it for the earlier process, they would send it packets of flows
+// that it does not hold, or declare it dead for the silence of that process.
+func TestRestartUnderSameName(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name   string
@@ -233,8 +230,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := three(t, 9)
-			x.paused[x.id("b1")] = true // raises the incarnation of the first life
+			x := startFleet(t, 9)
+			x.paused[x.id("b1")] = true // raises the incarnation of the first process
 			x.run(3 * time.Second)
 			delete(x.paused, x.id("b1"))
 			x.run(5 * time.Second)
@@ -252,16 +249,16 @@
 	}
 }
 
-// The link to a data centre fails. Each side goes on with the VMs it reaches,
-// but it must not conclude from "no record" that a flow is gone, since the
-// records may be on the other side. After healing both sides are one again,
-// and nobody was declared dead.
+// The link to a data centre fails. Each side continues with the VMs that it reaches,
+// but must not conclude from a missing record that a flow has ended, since the
+// record may be on the other side. After healing the views agree, and no VM was
+// declared dead.
 func TestPartitionOfDataCentre(t *testing.T) {
 	t.Parallel()
 	for _, length := range []time.Duration{2 * time.Second, 5 * time.Second, 2 * time.Minute} {
 		t.Run(length.String(), func(t *testing.T) {
-			x := three(t, 9)
-			x.cut = func(from, to baobabstep.VM) bool { return (from.DataCentre == "c") != (to.DataCentre == "c") }
+			x := startFleet(t, 9)
+			x.blocked = func(from, to baobabstep.VM) bool { return (from.DataCentre == "c") != (to.DataCentre == "c") }
 			x.run(length)
 			a, c := x.fleet("a0").View(x.now), x.fleet("c0").View(x.now)
 			switch {
@@ -270,13 +267,13 @@
 			case length < 8*time.Second:
 				qt.Assert(t, a.Unsure && c.Unsure, qt.IsTrue)
 				qt.Assert(t, a.Members, qt.HasLen, 9)
-				qt.Assert(t, x.state("a0", "c1"), qt.Equals, "VMSuspect")
+				qt.Assert(t, x.observedState("a0", "c1"), qt.Equals, "VMSuspect")
 			default:
 				qt.Assert(t, a.Unsure && c.Unsure, qt.IsTrue)
-				qt.Assert(t, x.members("a0"), qt.DeepEquals, []string{"a0", "a1", "a2", "b0", "b1", "b2"})
-				qt.Assert(t, x.members("c0"), qt.DeepEquals, []string{"c0", "c1", "c2"})
+				qt.Assert(t, x.memberNames("a0"), qt.DeepEquals, []string{"a0", "a1", "a2", "b0", "b1", "b2"})
+				qt.Assert(t, x.memberNames("c0"), qt.DeepEquals, []string{"c0", "c1", "c2"})
 			}
-			x.cut = nil
+			x.blocked = nil
 			x.run(5 * time.Second)
 			x.assertConverged(9)
 			for _, f := range x.fleets {
@@ -286,78 +283,76 @@
 	}
 }
 
-// Two data centres lose each other while a third reaches both. From a, the
-// VMs of c cannot be reached, whatever b says of them: packets sent there are
-// lost, so a must treat them as cut off, and b must not.
+// Data centres a and c cannot reach each other, while b reaches both. Packets from a
+// to c are lost whatever b reports of c, so a must treat c as partitioned, and b
+// must not.
 func TestPartitionOfOneLink(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
-	x.cut = func(from, to baobabstep.VM) bool {
+	x := startFleet(t, 9)
+	x.blocked = func(from, to baobabstep.VM) bool {
 		return from.DataCentre+to.DataCentre == "ac" || from.DataCentre+to.DataCentre == "ca"
 	}
 	x.run(20 * time.Second)
-	qt.Assert(t, x.members("a0"), qt.DeepEquals, []string{"a0", "a1", "a2", "b0", "b1", "b2"})
-	qt.Assert(t, x.members("c0"), qt.DeepEquals, []string{"b0", "b1", "b2", "c0", "c1", "c2"})
-	qt.Assert(t, x.members("b0"), qt.HasLen, 9)
+	qt.Assert(t, x.memberNames("a0"), qt.DeepEquals, []string{"a0", "a1", "a2", "b0", "b1", "b2"})
+	qt.Assert(t, x.memberNames("c0"), qt.DeepEquals, []string{"b0", "b1", "b2", "c0", "c1", "c2"})
+	qt.Assert(t, x.memberNames("b0"), qt.HasLen, 9)
 	qt.Assert(t, x.fleet("b0").View(x.now).Unsure, qt.IsFalse)
 }
 
-// Inside a data centre one VM cannot reach one other, while a third reaches
-// both. Nobody is dead, and the views must not say so.
-func TestOneLinkBroken(t *testing.T) {
+// Two VMs of a data centre cannot reach each other, while a third reaches both. All
+// must stay in the views.
+func TestBrokenLinkBetweenTwoVMs(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
-	x.cut = func(from, to baobabstep.VM) bool { return from.Name+to.Name == "a0a1" || from.Name+to.Name == "a1a0" }
+	x := startFleet(t, 9)
+	x.blocked = func(from, to baobabstep.VM) bool { return from.Name+to.Name == "a0a1" || from.Name+to.Name == "a1a0" }
 	for range 600 {
-		x.run(tick)
-		qt.Assert(t, x.members("b0"), qt.HasLen, 9)
-		qt.Assert(t, x.members("a0"), qt.HasLen, 9)
+		x.run(tickInterval)
+		qt.Assert(t, x.memberNames("b0"), qt.HasLen, 9)
+		qt.Assert(t, x.memberNames("a0"), qt.HasLen, 9)
 	}
 	qt.Assert(t, x.fleet("a0").Stats().Suspicions, qt.Equals, uint64(0))
 }
 
-// Changes during a partition: a VM dies and another joins on each side. After
-// healing both sides know both changes, whatever their clocks said.
+// During a partition one VM dies and another joins on each side. After healing, both
+// sides must know all changes, regardless of their clocks.
 func TestPartitionWithChangesOnBothSides(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
-	x.cut = func(from, to baobabstep.VM) bool { return (from.DataCentre == "c") != (to.DataCentre == "c") }
+	x := startFleet(t, 9)
+	x.blocked = func(from, to baobabstep.VM) bool { return (from.DataCentre == "c") != (to.DataCentre == "c") }
 	x.run(20 * time.Second)
 	x.kill("a1")
 	x.kill("c1")
 	x.start("a9", "a", "a0")
 	x.start("c9", "c", "c0")
 	x.run(20 * time.Second)
-	x.cut = nil
+	x.blocked = nil
 	x.run(8 * time.Second)
 	x.assertConverged(9)
-	qt.Assert(t, x.members("b0"), qt.DeepEquals, []string{"a0", "a2", "a9", "b0", "b1", "b2", "c0", "c2", "c9"})
+	qt.Assert(t, x.memberNames("b0"), qt.DeepEquals, []string{"a0", "a2", "a9", "b0", "b1", "b2", "c0", "c2", "c9"})
 }
 
-// One VM loses its peers, though nothing happened to them. From inside that
-// looks as if everybody had died at once. If it buried them within a second,
-// its view would be sure of being alone, and flows held by the others would be
-// reset as unknown.
+// To a VM that is cut off, all peers seem dead. If it declared them dead within a
+// second, its view would be sure that it is alone, and it would reset flows held by
+// the others as unknown.
 func TestIsolatedVMStaysUnsure(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
-	x.cut = func(from, to baobabstep.VM) bool { return from.Name == "b2" || to.Name == "b2" }
-	x.until(5*time.Second, func(f *member.Fleet) bool {
+	x := startFleet(t, 9)
+	x.blocked = func(from, to baobabstep.VM) bool { return from.Name == "b2" || to.Name == "b2" }
+	x.runUntil(5*time.Second, func(f *member.Fleet) bool {
 		return f == x.fleet("b2") || len(f.View(x.now).Members) == 8
 	})
 	qt.Assert(t, x.fleet("b2").Stats().Deaths, qt.Equals, uint64(0))
 	qt.Assert(t, x.fleet("b2").View(x.now).Unsure, qt.IsTrue)
 	x.run(2 * time.Minute)
 	qt.Assert(t, x.fleet("b2").View(x.now).Unsure, qt.IsTrue)
-	x.cut = nil
+	x.blocked = nil
 	x.run(15 * time.Second)
 	x.assertConverged(9)
 }
 
-// The platform's list lags: it names VMs that died and lacks VMs that live.
-// It may neither bring the dead into the view nor take the living out of it;
-// but a suspect that it has dropped is dead.
-func TestListIsNoProof(t *testing.T) {
+// The platform's list lags: it names dead VMs and omits live ones. It must neither
+// add dead VMs to the view nor remove live ones.
+func TestListNeitherAddsNorRemovesMembers(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name    string
@@ -370,25 +365,26 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			x := three(t, 9)
+			x := startFleet(t, 9)
 			x.kill("c1")
-			x.until(4*time.Second, x.sees(8))
+			x.runUntil(4*time.Second, x.viewHasSize(8))
 			for range 30 {
 				for _, f := range x.fleets {
-					f.Seeds(x.now, x.list(test.list...))
+					f.Seeds(x.now, x.vmList(test.list...))
 				}
 				x.run(time.Second)
-				qt.Assert(t, x.members("a0"), qt.HasLen, test.members)
+				qt.Assert(t, x.memberNames("a0"), qt.HasLen, test.members)
 			}
 			x.assertConverged(test.members)
 		})
 	}
 }
 
-func TestListBuriesSuspects(t *testing.T) {
+// A suspect that the list stops naming is dead. An empty list proves nothing.
+func TestUnlistedSuspectsAreDeclaredDead(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
-	all := x.list("a0", "a1", "a2", "b0", "b1", "b2", "c0", "c1", "c2")
+	x := startFleet(t, 9)
+	all := x.vmList("a0", "a1", "a2", "b0", "b1", "b2", "c0", "c1", "c2")
 	for _, f := range x.fleets {
 		f.Seeds(x.now, all)
 	}
@@ -397,36 +393,36 @@
 	}
 	x.run(5 * time.Second)
 	for _, f := range x.fleets {
-		f.Seeds(x.now, nil) // a fault of the platform
+		f.Seeds(x.now, nil) // ignored as a platform fault
 	}
 	qt.Assert(t, x.fleet("a0").View(x.now).Unsure, qt.IsTrue)
 	for _, f := range x.fleets {
-		f.Seeds(x.now, x.list("a0", "a1", "a2", "b0", "b1", "b2"))
+		f.Seeds(x.now, x.vmList("a0", "a1", "a2", "b0", "b1", "b2"))
 	}
 	x.run(5 * time.Second)
 	x.assertConverged(6)
 }
 
-// A rack fails: several VMs of a data centre die in one moment, among them
-// relays. The others must agree on the loss in seconds, also far away.
+// Several VMs of a data centre, relays among them, die at once with their rack. All
+// other VMs must drop them within seconds, in other data centres too.
 func TestRackLoss(t *testing.T) {
 	t.Parallel()
-	x := three(t, 24)
+	x := startFleet(t, 24)
 	for _, name := range []string{"a0", "a3", "a6"} {
 		x.kill(name)
 	}
-	took := x.until(6*time.Second, x.sees(21))
+	took := x.runUntil(6*time.Second, x.viewHasSize(21))
 	t.Logf("out of all views after %v", took)
 	x.run(5 * time.Second)
 	x.assertConverged(21)
 }
 
-// Two data centres lose in one moment the VMs that the relays of the other one
-// write to. Neither hears of the other's loss, so both would go on writing to
-// the dead and take the other for silent.
+// Two data centres lose at once the VMs to which the relays of the other one send.
+// Without trying other VMs, the relays would keep sending to dead ones, and each
+// data centre would consider the other silent.
 func TestRelaysFindAnotherVM(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t)
+	x := newSimNetwork(t)
 	for i := range 8 {
 		x.start(fmt.Sprint("a", i), "a", "a0", "b0")
 		x.start(fmt.Sprint("b", i), "b", "a0", "b0")
@@ -436,17 +432,17 @@
 	for _, name := range append(f.RelayPeers("a", "b"), f.RelayPeers("b", "a")...) {
 		x.kill(name)
 	}
-	x.until(8*time.Second, x.sees(10))
+	x.runUntil(8*time.Second, x.viewHasSize(10))
 	x.run(8 * time.Second)
 	x.assertConverged(10)
 }
 
-// All VMs of a data centre are replaced at once. Its beat starts from zero,
-// while the others remember a high one and would take it for silent for as
-// long as it had lived before.
-func TestDataCentreStartsAnew(t *testing.T) {
+// All VMs of a data centre are replaced at once, so its beat restarts from zero. The
+// others remember a higher one and would consider the data centre silent until its
+// beat exceeds that.
+func TestRestartOfWholeDataCentre(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
+	x := startFleet(t, 9)
 	x.run(2 * time.Minute)
 	for _, name := range []string{"b0", "b1", "b2"} {
 		x.kill(name)
@@ -456,64 +452,64 @@
 	x.assertConverged(9)
 }
 
-// A planned stop is announced, so that no new work goes to the VM while it
-// hands over; nobody has to suspect it for that.
+// A planned stop is announced, so that no new work goes to the VM while it hands
+// over, without any suspicion.
 func TestLeave(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
+	x := startFleet(t, 9)
 	x.send(x.id("a1"), x.fleet("a1").Leave(x.now))
-	took := x.until(time.Second, x.sees(8))
+	took := x.runUntil(time.Second, x.viewHasSize(8))
 	t.Logf("out of all views after %v", took)
 	x.run(5 * time.Second)
-	qt.Assert(t, x.state("c0", "a1"), qt.Equals, "VMLeaving")
+	qt.Assert(t, x.observedState("c0", "a1"), qt.Equals, "VMLeaving")
 	x.assertConverged(8)
 	x.kill("a1")
 	x.run(6 * time.Second)
-	qt.Assert(t, x.state("c0", "a1"), qt.Equals, "VMDead")
+	qt.Assert(t, x.observedState("c0", "a1"), qt.Equals, "VMDead")
 	x.assertConverged(8)
 }
 
-// The process stops right after it announced its stop. What it sent with its
-// last breath has to be enough: nobody may lose time on a suspicion.
-func TestLeaveAndStopAtOnce(t *testing.T) {
+// The process stops right after it announced its stop. The messages from Leave must
+// suffice to remove it from the views without the delay of a suspicion.
+func TestLeaveAndImmediateStop(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
+	x := startFleet(t, 9)
 	x.send(x.id("a1"), x.fleet("a1").Leave(x.now))
 	x.kill("a1")
-	x.until(time.Second, x.sees(8))
+	x.runUntil(time.Second, x.viewHasSize(8))
 	x.run(5 * time.Second)
 	x.assertConverged(8)
 }
 
-// A VM of a new data centre knows one VM of another. All others have to find
-// it, and it them, in seconds: until then they would place flows differently.
+// A VM of a new data centre knows one VM of another. All VMs must find each other
+// within seconds; until then they would place flows differently.
 func TestNewDataCentreIsFound(t *testing.T) {
 	t.Parallel()
-	x := three(t, 24)
+	x := startFleet(t, 24)
 	x.start("d0", "d", "b3")
-	took := x.until(15*time.Second, x.sees(25))
+	took := x.runUntil(15*time.Second, x.viewHasSize(25))
 	t.Logf("known everywhere after %v", took)
 }
 
-// The same for a VM that joins where there are many. What it has to learn is
-// no news to the others, so it has to ask.
-func TestJoinLearnsTheFleet(t *testing.T) {
+// A VM that joins a large data centre must learn all members within seconds. They are
+// not news to the others, so it has to request them.
+func TestJoiningVMLearnsTheFleet(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t)
+	x := newSimNetwork(t)
 	for i := range 40 {
 		x.start(fmt.Sprint("a", i), "a", "a0")
 	}
 	x.run(20 * time.Second)
 	x.assertConverged(40)
 	x.start("a99", "a", "a3")
-	took := x.until(4*time.Second, x.sees(41))
+	took := x.runUntil(4*time.Second, x.viewHasSize(41))
 	t.Logf("known everywhere after %v", took)
 }
 
-// The settings name seeds by address only.
+// Seeds may consist of an address only.
 func TestSeedsWithoutNames(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t)
+	x := newSimNetwork(t)
 	x.start("a0", "a")
 	x.start("b0", "b")
 	f := x.start("a1", "a")
@@ -522,38 +518,38 @@
 	x.assertConverged(3)
 }
 
-// Two groups that started apart, as after an outage of the list, become one
-// when the list names one VM of the other group to any VM.
+// Two groups that started separately, as after an outage of the list, merge when the
+// list names one VM of one group to a VM of the other.
 func TestGroupsMerge(t *testing.T) {
 	t.Parallel()
-	x := newExchange(t)
+	x := newSimNetwork(t)
 	for i := range 3 {
 		x.start(fmt.Sprint("a", i), "a", "a0")
 		x.start(fmt.Sprint("b", i), "b", "b0")
 	}
 	x.run(10 * time.Second)
-	qt.Assert(t, x.members("a1"), qt.HasLen, 3)
-	x.fleet("a2").Seeds(x.now, x.list("b1"))
+	qt.Assert(t, x.memberNames("a1"), qt.HasLen, 3)
+	x.fleet("a2").Seeds(x.now, x.vmList("b1"))
 	x.run(15 * time.Second)
 	x.assertConverged(6)
 }
 
-// Two VMs have one name in their settings. Their records would mix: an answer
-// meant for one reaches the other. Both have to say so. The fight for the name
-// must not fill the network.
+// Two VMs are configured with the same name, so answers meant for one reach the other.
+// Both must report the duplicate, and their competing incarnations must not flood
+// the network.
 func TestTwoVMsWithOneName(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
+	x := startFleet(t, 9)
 	first := x.fleet("b1")
 	id := x.id("b1")
 	second := x.start("b1", "b", "a0", "b0", "c0")
 	bytes := second.Stats().BytesOut
 	for range 100 {
-		// Both answer what is sent to the name: deliver to either in turn.
+		// Both receive messages for the name: deliver to them alternately.
 		x.fleets[id] = second
-		x.run(tick)
+		x.run(tickInterval)
 		x.fleets[id] = first
-		x.run(tick)
+		x.run(tickInterval)
 	}
 	qt.Assert(t, first.Duplicate(x.now), qt.IsTrue)
 	qt.Assert(t, second.Duplicate(x.now), qt.IsTrue)
@@ -563,7 +559,7 @@
 
 func TestViewPointerStaysWhileNothingChanged(t *testing.T) {
 	t.Parallel()
-	x := three(t, 9)
+	x := startFleet(t, 9)
 	v := x.fleet("a0").View(x.now)
 	x.run(time.Minute)
 	qt.Assert(t, x.fleet("a0").View(x.now), qt.Equals, v)
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -3,32 +3,32 @@
 import "time"
 
 const (
-	// gossipInterval is the time between two rounds while there is news.
+	// gossipInterval is the time between two gossip rounds while news is queued.
 	gossipInterval = 200 * time.Millisecond
-	// gossipFanout is the number of VMs told in a round.
+	// gossipFanout is the number of receivers in a round.
 	gossipFanout = 3
-	// gossipRepeats times the number of digits of the data centre's size is
-	// the number of messages that carry one piece of news.
+	// gossipRepeats times the number of decimal digits of the data centre's size
+	// is the number of messages that carry one piece of news.
 	gossipRepeats = 4
-	// maxNews bounds the queue of news. When a whole fleet starts at once,
-	// pushing everything to everybody costs many times what comparing
-	// digests does, and would leave that no budget.
-	maxNews = 32
-	// entryBytes is a generous size of one entry, for estimates.
-	entryBytes = 120
+	// maxQueuedNews bounds the queue of news. When a whole fleet starts at once,
+	// pushing all entries to all VMs costs many times more than comparing
+	// digests, and would use up the budget for it.
+	maxQueuedNews = 32
+	// estimatedEntryBytes is an upper estimate of the encoded size of an entry.
+	estimatedEntryBytes = 120
 )
 
 // budget is a token bucket of bytes.
 type budget struct {
-	rate   int // bytes a second; twice as much is the burst
-	tokens float64
-	at     time.Time
+	bytesPerSecond int // the burst is twice as much
+	tokens         float64
+	refilledAt     time.Time
 }
 
-// take reports whether n bytes may be sent, and counts them.
+// take consumes n bytes of the budget, or returns false if they exceed it.
 func (b *budget) take(now time.Time, n int) bool {
-	b.tokens = min(b.tokens+now.Sub(b.at).Seconds()*float64(b.rate), float64(2*b.rate))
-	b.at = now
+	b.tokens = min(b.tokens+now.Sub(b.refilledAt).Seconds()*float64(b.bytesPerSecond), float64(2*b.bytesPerSecond))
+	b.refilledAt = now
 	if b.tokens < float64(n) {
 		return false
 	}
@@ -36,7 +36,7 @@
 	return true
 }
 
-// queueNews puts a record in the queue of news, or back to its full count.
+// queueNews queues a record as news and resets the count of its remaining sends.
 func (f *Fleet) queueNews(r *record) {
 	digits := 0
 	for n := len(f.own.records); n > 0; n /= 10 {
@@ -48,14 +48,14 @@
 	}
 	r.queued = true
 	f.news = append(f.news, r)
-	if len(f.news) > maxNews && r != f.me {
+	if len(f.news) > maxQueuedNews && r != f.self {
 		f.news[0].queued = false
 		f.news = f.news[1:]
 	}
 }
 
-// takeNews returns up to n entries to send along. What has to be sent again
-// goes to the end of the queue.
+// takeNews returns up to n queued entries to send. Entries with remaining sends
+// move to the end of the queue.
 func (f *Fleet) takeNews(n int) []entry {
 	n = min(n, len(f.news))
 	if n == 0 {
@@ -77,14 +77,14 @@
 	return entries
 }
 
-// gossip pushes news to a few VMs, so that it does not wait for probes.
-func (f *Fleet) gossip(out *[]Out) {
+// sendGossip pushes news to a few VMs without waiting for the next probe.
+func (f *Fleet) sendGossip(out *[]Out) {
 	if len(f.news) == 0 || f.now.Before(f.nextGossip) {
 		return
 	}
 	f.nextGossip = f.now.Add(gossipInterval)
-	for _, r := range f.pick(f.own, gossipFanout, living) {
-		if !f.budget.take(f.now, entryBytes*min(maxGossip, len(f.news))) {
+	for _, r := range f.pickRandom(f.own, gossipFanout, notDead) {
+		if !f.budget.take(f.now, estimatedEntryBytes*min(maxGossip, len(f.news))) {
 			f.stats.Saved++
 			return
 		}
--- a/core/member/site_test.go
+++ b/core/member/helpers_test.go
@@ -15,8 +15,8 @@
 	"baobabstep/core/member"
 )
 
-// start adds a VM, or starts it anew, and names seeds to it.
-func (x *exchange) start(name, dataCentre string, seeds ...string) *member.Fleet {
+// start starts or restarts a VM and passes it the seeds.
+func (x *simNetwork) start(name, dataCentre string, seeds ...string) *member.Fleet {
 	n := uint16(1000 + len(x.vms))
 	vm := baobabstep.VM{
 		ID: baobabstep.MakeVMID(name), Name: name, Region: "tas-south", DataCentre: dataCentre, Rack: "r" + name[len(name)-1:],
@@ -25,11 +25,11 @@
 	}
 	f := member.New(x.now, member.Options{Self: vm, Rand: rand.New(rand.NewPCG(uint64(vm.ID), x.rand.Uint64()))})
 	x.vms[name], x.fleets[vm.ID] = vm, f
-	f.Seeds(x.now, x.list(seeds...))
+	f.Seeds(x.now, x.vmList(seeds...))
 	return f
 }
 
-func (x *exchange) list(names ...string) []baobabstep.VM {
+func (x *simNetwork) vmList(names ...string) []baobabstep.VM {
 	var vms []baobabstep.VM
 	for _, name := range names {
 		vms = append(vms, x.vms[name])
@@ -37,27 +37,27 @@
 	return vms
 }
 
-func (x *exchange) id(name string) baobabstep.VMID { return baobabstep.MakeVMID(name) }
+func (x *simNetwork) id(name string) baobabstep.VMID { return baobabstep.MakeVMID(name) }
 
-func (x *exchange) fleet(name string) *member.Fleet { return x.fleets[x.id(name)] }
+func (x *simNetwork) fleet(name string) *member.Fleet { return x.fleets[x.id(name)] }
 
-func (x *exchange) kill(name string) { delete(x.fleets, x.id(name)) }
+func (x *simNetwork) kill(name string) { delete(x.fleets, x.id(name)) }
 
-func (x *exchange) order() []baobabstep.VMID { return slices.Sorted(maps.Keys(x.fleets)) }
+func (x *simNetwork) sortedIDs() []baobabstep.VMID { return slices.Sorted(maps.Keys(x.fleets)) }
 
-func (x *exchange) find(fits func(baobabstep.VM) bool) baobabstep.VM {
+func (x *simNetwork) findVM(match func(baobabstep.VM) bool) baobabstep.VM {
 	for _, vm := range x.vms {
-		if fits(vm) {
+		if match(vm) {
 			return vm
 		}
 	}
 	return baobabstep.VM{}
 }
 
-// three starts n VMs, named a0, b0, c0, a1, ..., in data centres a, b and c,
-// and waits until they know each other.
-func three(t *testing.T, n int) *exchange {
-	x := newExchange(t)
+// startFleet starts n VMs, named a0, b0, c0, a1, ..., in data centres a, b and c,
+// and waits until their views agree.
+func startFleet(t *testing.T, n int) *simNetwork {
+	x := newSimNetwork(t)
 	for i := range n {
 		dataCentre := string(rune('a' + i%3))
 		x.start(fmt.Sprint(dataCentre, i/3), dataCentre, "a0", "b0", "c0")
@@ -67,8 +67,8 @@
 	return x
 }
 
-// members returns the names of the members in the view of a VM.
-func (x *exchange) members(name string) []string {
+// memberNames returns the sorted names of the members in the view of a VM.
+func (x *simNetwork) memberNames(name string) []string {
 	var names []string
 	for _, vm := range x.fleet(name).View(x.now).Members {
 		names = append(names, vm.Name)
@@ -77,15 +77,15 @@
 	return names
 }
 
-// assertConverged checks that every running VM has the same n members, all
-// alive, and is sure of it.
-func (x *exchange) assertConverged(n int) {
+// assertConverged checks that all running VMs have the same view of n members, and
+// that none is unsure.
+func (x *simNetwork) assertConverged(n int) {
 	x.t.Helper()
 	var first []baobabstep.VM
-	for _, id := range x.order() {
+	for _, id := range x.sortedIDs() {
 		v := x.fleets[id].View(x.now)
-		name := x.find(func(vm baobabstep.VM) bool { return vm.ID == id }).Name
-		qt.Assert(x.t, v.Members, qt.HasLen, n, qt.Commentf("view of %s: %v", name, x.members(name)))
+		name := x.findVM(func(vm baobabstep.VM) bool { return vm.ID == id }).Name
+		qt.Assert(x.t, v.Members, qt.HasLen, n, qt.Commentf("view of %s: %v", name, x.memberNames(name)))
 		qt.Assert(x.t, v.Unsure, qt.IsFalse, qt.Commentf("view of %s", name))
 		if first == nil {
 			first = v.Members
--- a/core/member/merge.go
+++ b/core/member/merge.go
@@ -7,17 +7,17 @@
 	"baobabstep"
 )
 
-// merge takes in an entry. quiet keeps it from being passed on as news, unless
-// it changes a record that was known: a VM that joins a large fleet learns of
-// thousands, and nobody has to hear of them again.
+// merge applies an entry. With quiet set, an entry of a new VM is not queued as
+// news: a VM that joins a large fleet receives thousands of entries that the
+// others already have.
 func (f *Fleet) merge(e *entry, quiet bool) {
 	if !e.valid() {
 		f.stats.Malformed++
 		return
 	}
 	vm := e.vm()
-	if vm.ID == f.me.vm.ID {
-		f.hearOfSelf(vm, e.Nonce)
+	if vm.ID == f.self.vm.ID {
+		f.handleEntryOfSelf(vm, e.Nonce)
 		return
 	}
 	r := f.known[vm.ID]
@@ -32,12 +32,12 @@
 	}
 }
 
-// add creates the record of a VM that was not known.
+// add creates the record of an unknown VM.
 func (f *Fleet) add(now time.Time, vm baobabstep.VM, nonce uint64) *record {
 	_, listed := f.candidates[vm.ID]
 	delete(f.candidates, vm.ID)
-	delete(f.candidates, namelessID(vm.PeerAddress))
-	r := &record{nonce: nonce, since: now, listed: listed, listedNow: listed}
+	delete(f.candidates, addressSeedID(vm.PeerAddress))
+	r := &record{nonce: nonce, stateSince: now, everListed: listed, listed: listed}
 	r.vm = vm
 	f.known[vm.ID] = r
 	d := f.dataCentreOf(vm)
@@ -48,13 +48,13 @@
 	return r
 }
 
-// update replaces what is known of a VM and passes it on.
+// update replaces the record of a VM and queues it as news.
 func (f *Fleet) update(r *record, vm baobabstep.VM, nonce uint64) {
 	if vm.State != r.vm.State {
-		r.since = f.now
-		r.accused = false
+		r.stateSince = f.now
+		r.suspectedHere = false
 		if vm.State == baobabstep.VMLeaving {
-			r.since = time.Time{}
+			r.stateSince = time.Time{}
 		}
 	}
 	d := f.dataCentreOf(vm)
@@ -68,13 +68,13 @@
 }
 
 func (f *Fleet) markChanged(r *record) {
-	f.changes++
-	r.changed = f.changes
-	r.dataCentre.lastChanged = f.changes
-	f.stale.Store(true)
+	f.changeCount++
+	r.changeNumber = f.changeCount
+	r.dataCentre.lastChange = f.changeCount
+	f.viewStale.Store(true)
 }
 
-// shareStrings keeps one copy of strings that many VMs have in common.
+// shareStrings interns the strings that many VMs have in common.
 func (f *Fleet) shareStrings(r *record, d *dataCentre) {
 	r.vm.Region, r.vm.DataCentre = d.region, d.name
 	rack, ok := f.racks[r.vm.Rack]
@@ -85,85 +85,87 @@
 	r.vm.Rack = rack
 }
 
-// setState changes the state of another VM by this VM's own judgement.
+// setState sets the state of another VM by local decision.
 func (f *Fleet) setState(r *record, state baobabstep.VMState) {
 	vm := r.vm
 	vm.State = state
 	f.update(r, vm, r.nonce)
 }
 
-// raise gives this VM a higher incarnation.
-func (f *Fleet) raise(incarnation uint64) {
-	vm := f.me.vm
+// raiseIncarnation sets a higher incarnation for this VM.
+func (f *Fleet) raiseIncarnation(incarnation uint64) {
+	vm := f.self.vm
 	if incarnation <= vm.Incarnation || incarnation >= maxIncarnation {
 		return
 	}
 	vm.Incarnation = incarnation
-	f.update(f.me, vm, f.me.nonce)
+	f.update(f.self, vm, f.self.nonce)
 }
 
-// hearOfSelf compares what others say of this VM with the truth.
-func (f *Fleet) hearOfSelf(vm baobabstep.VM, nonce uint64) {
-	me := f.me.vm
+// handleEntryOfSelf handles a received entry for this VM: it refutes suspicion and
+// death, and detects other processes with the same name.
+func (f *Fleet) handleEntryOfSelf(vm baobabstep.VM, nonce uint64) {
+	me := f.self.vm
 	if vm.Name != me.Name {
-		f.stats.DuplicateNames++ // two names with one hash
+		f.stats.DuplicateNames++ // two names with the same ID hash
 		return
 	}
 	if vm.Incarnation < me.Incarnation {
 		return
 	}
-	if nonce != f.me.nonce {
-		f.hearOfOther(vm.Incarnation)
+	if nonce != f.self.nonce {
+		f.handleDuplicate(vm.Incarnation)
 		return
 	}
-	doubted := vm.State == baobabstep.VMSuspect || vm.State == baobabstep.VMDead
-	if vm.Incarnation == me.Incarnation && !doubted {
-		return // an echo
+	suspected := vm.State == baobabstep.VMSuspect || vm.State == baobabstep.VMDead
+	if vm.Incarnation == me.Incarnation && !suspected {
+		return // this VM's own entry, passed back
 	}
 	f.stats.Refutations++
 	if vm.State == baobabstep.VMDead {
-		// The others have given this VM's work away, so it has to stop
-		// acting on its records, as after a pause that it noticed itself.
+		// The others have taken over this VM's flows and requests, so it must stop
+		// acting on its records, as after a pause that it detected itself.
 		f.beginPause()
 	}
-	f.raise(vm.Incarnation + 1)
+	f.raiseIncarnation(vm.Incarnation + 1)
 }
 
 // duplicate tracks another process with this VM's name.
 type duplicate struct {
-	last  time.Time // when it was last heard of
-	raise time.Time // when the incarnation may be raised again
-	count int
+	lastSeen  time.Time // time of the last sign
+	nextRaise time.Time // earliest time of the next raise
+	count     int
 }
 
 const (
-	// duplicateWindow is the time in which signs of another process add up.
+	// duplicateWindow is the time in which signs of another process are added up.
 	duplicateWindow = 30 * time.Second
-	// duplicateLimit is the number of signs that cannot come from an earlier
-	// life: that one is gone and cannot top a raised incarnation. One or two
-	// may, when several of its incarnations are still being passed on.
+	// duplicateLimit is the number of signs after which a duplicate is reported.
+	// An earlier process of the same VM has stopped and cannot exceed a raised
+	// incarnation, but can cause one or two signs while several of its
+	// incarnations are still being gossiped.
 	duplicateLimit = 4
 )
 
-// hearOfOther handles news of a process with this VM's name that is not this
-// one: an earlier life, which a higher incarnation ends, or a VM with the same
-// name in its settings, which tops each incarnation. Raises become rarer, so
-// that two such VMs do not fill the fleet with their quarrel.
-func (f *Fleet) hearOfOther(incarnation uint64) {
-	if f.now.Before(f.duplicate.raise) {
+// handleDuplicate handles signs of another process with this VM's name: an earlier
+// process, which a higher incarnation supersedes, or a second VM configured with
+// the same name, which exceeds each new incarnation. The delay between raises
+// grows, so that two such VMs do not flood the fleet.
+func (f *Fleet) handleDuplicate(incarnation uint64) {
+	if f.now.Before(f.duplicate.nextRaise) {
 		return
 	}
-	f.sawDuplicate()
-	wait := f.o.ProbeInterval * time.Duration(f.duplicate.count)
-	f.duplicate.raise = f.now.Add(min(wait, duplicateWindow/4))
-	f.raise(incarnation + 1)
+	f.countDuplicate()
+	wait := f.options.ProbeInterval * time.Duration(f.duplicate.count)
+	f.duplicate.nextRaise = f.now.Add(min(wait, duplicateWindow/4))
+	f.raiseIncarnation(incarnation + 1)
 }
 
-func (f *Fleet) sawDuplicate() {
-	if f.now.Sub(f.duplicate.last) > duplicateWindow {
+func (f *Fleet) countDuplicate() {
+	if f.now.Sub(f.duplicate.lastSeen) > duplicateWindow {
 		f.duplicate.count = 0
 	}
-	f.duplicate.last = f.now
+	f.duplicate.lastSeen = f.now
 	f.duplicate.count++
 	if f.duplicate.count >= duplicateLimit {
 		f.stats.DuplicateNames++
@@ -174,35 +176,35 @@
 func (f *Fleet) Duplicate(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.duplicate.count >= duplicateLimit && now.Sub(f.duplicate.last) <= duplicateWindow
+	return f.duplicate.count >= duplicateLimit && now.Sub(f.duplicate.lastSeen) <= duplicateWindow
 }
 
-// Seeds takes the VMs of the settings or of the platform's list. They are
-// candidates to contact; a list proves neither life nor death. Only a VM that
-// is suspect here already, and that the list named before and no longer does,
-// is declared dead by it. An empty list is a fault of the platform. A seed may
+// Seeds sets the VMs of the settings or of the platform's list as candidates to
+// contact. A list neither makes a VM alive nor, on its own, dead: it only declares
+// dead a VM that is already suspect here and that an earlier list named but this
+// one omits. An empty list is treated as a platform fault and ignored. A seed may
 // consist of its peer address alone.
 func (f *Fleet) Seeds(now time.Time, vms []baobabstep.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observe(now)
+	f.advanceClock(now)
 	named := vms[:0:0]
 	for _, vm := range vms {
 		if vm.Name == "" {
-			f.addNameless(vm)
+			f.addAddressSeed(vm)
 		} else {
 			named = append(named, vm)
 		}
 	}
 	if len(named) > 0 {
-		f.takeList(named)
+		f.applyList(named)
 	}
 }
 
-// takeList takes a list of VMs with names.
-func (f *Fleet) takeList(vms []baobabstep.VM) {
+// applyList replaces the candidates by a list of VMs with names.
+func (f *Fleet) applyList(vms []baobabstep.VM) {
 	for _, r := range f.known {
-		r.listedNow = false
+		r.listed = false
 	}
 	clear(f.candidates)
 	for _, vm := range vms {
@@ -211,17 +213,17 @@
 		switch {
 		case r == nil:
 			f.candidates[vm.ID] = vm
-		case r != f.me:
-			r.listed, r.listedNow = true, true
+		case r != f.self:
+			r.everListed, r.listed = true, true
 		}
 	}
-	f.buryUnlisted()
+	f.declareUnlistedDead()
 }
 
-// addNameless takes a seed of which only the address is known. It is kept
-// under an ID made from the address, which no message ever carries.
-func (f *Fleet) addNameless(vm baobabstep.VM) {
-	if !vm.PeerAddress.IsValid() || vm.PeerAddress == f.me.vm.PeerAddress {
+// addAddressSeed adds a seed of which only the address is known. Its ID is derived
+// from the address and never appears in a message.
+func (f *Fleet) addAddressSeed(vm baobabstep.VM) {
+	if !vm.PeerAddress.IsValid() || vm.PeerAddress == f.self.vm.PeerAddress {
 		return
 	}
 	for _, r := range f.known {
@@ -229,19 +231,19 @@
 			return
 		}
 	}
-	vm.ID = namelessID(vm.PeerAddress)
+	vm.ID = addressSeedID(vm.PeerAddress)
 	f.candidates[vm.ID] = vm
 }
 
-func namelessID(address netip.AddrPort) baobabstep.VMID {
+func addressSeedID(address netip.AddrPort) baobabstep.VMID {
 	return baobabstep.MakeVMID("seed " + address.String())
 }
 
-func (f *Fleet) buryUnlisted() {
-	for _, d := range f.sorted {
+func (f *Fleet) declareUnlistedDead() {
+	for _, d := range f.sortedDataCentres {
 		for _, r := range d.records {
 			suspect := r.vm.State == baobabstep.VMSuspect || r.vm.State == baobabstep.VMAlive && d.silent
-			if suspect && r.listed && !r.listedNow {
+			if suspect && r.everListed && !r.listed {
 				f.declareDead(r)
 			}
 		}
@@ -253,17 +255,17 @@
 	f.setState(r, baobabstep.VMDead)
 }
 
-// sweepInterval is the time between two searches for records to forget.
-const sweepInterval = 10 * time.Second
+// forgetInterval is the time between two searches for records to forget.
+const forgetInterval = 10 * time.Second
 
-// sweep forgets the dead after a while.
-func (f *Fleet) sweep() {
-	if f.now.Before(f.nextSweep) {
+// forgetDead deletes records that have been dead for ForgetTimeout.
+func (f *Fleet) forgetDead() {
+	if f.now.Before(f.nextForget) {
 		return
 	}
-	f.nextSweep = f.now.Add(sweepInterval)
+	f.nextForget = f.now.Add(forgetInterval)
 	for _, r := range f.known {
-		if r.vm.State == baobabstep.VMDead && f.now.Sub(r.since) > f.o.ForgetTimeout {
+		if r.vm.State == baobabstep.VMDead && f.now.Sub(r.stateSince) > f.options.ForgetTimeout {
 			r.dataCentre.remove(r)
 			delete(f.known, r.vm.ID)
 		}
--- a/core/member/options.go
+++ b/core/member/options.go
@@ -23,44 +23,44 @@
 	DefaultGossipBytesPerSecond = 8 << 10
 )
 
-// Options configure a [Fleet]. Zero values get the defaults above.
+// Options configures a [Fleet]. Zero values select the defaults above.
 type Options struct {
-	// Self describes this VM. An Incarnation of 0 counts as 1; peers that
-	// knew an earlier life of the VM make it choose a higher one.
+	// Self describes this VM. An Incarnation of 0 counts as 1; entries that peers
+	// kept of an earlier process make the VM raise it.
 	Self baobabstep.VM
 	// ProbeInterval is the time between two probes.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the time to wait for the answer of a probe before
-	// other VMs are asked to probe. It has to be well under ProbeInterval.
+	// ProbeTimeout is the time to wait for an answer before indirect probes are
+	// requested. It must be well below ProbeInterval.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is the time a suspect has to refute.
+	// SuspicionTimeout is the time that a suspect has to refute.
 	SuspicionTimeout time.Duration
-	// PauseLimit is the gap between ticks that counts as a pause. It must not
-	// be more than ProbeInterval and SuspicionTimeout together: others may
-	// declare this VM dead after that.
+	// PauseLimit is the gap between ticks above which this VM counts as paused. It
+	// must not exceed ProbeInterval plus SuspicionTimeout, after which others may
+	// declare this VM dead.
 	PauseLimit time.Duration
 	// RejoinTimeout bounds how long a VM that was paused, or just started,
-	// waits for a peer before it goes on alone.
+	// waits for a peer before it continues alone.
 	RejoinTimeout time.Duration
 	// DataCentreSilence is the time without a beat after which the VMs of
 	// another data centre are suspect.
 	DataCentreSilence time.Duration
-	// PartitionTimeout is the further time after which they leave the view's
-	// Members. They stay suspect, and the view unsure.
+	// PartitionTimeout is the additional time after which these VMs are removed from
+	// the view's Members. They stay suspect, and the view stays unsure.
 	PartitionTimeout time.Duration
 	// ForgetTimeout is the time after which the VMs of a silent data centre
-	// are dead, and after which the dead are forgotten.
+	// are declared dead, and after which dead VMs are forgotten.
 	ForgetTimeout time.Duration
 	// SyncInterval is the time between two comparisons of digests.
 	SyncInterval time.Duration
-	// Relays is the number of VMs of a data centre that exchange news with
-	// one other data centre, and of VMs asked for an indirect probe.
+	// Relays is the number of VMs of a data centre that exchange news with each
+	// other data centre, and of VMs asked for an indirect probe.
 	Relays int
-	// GossipBytesPerSecond bounds the bytes sent for gossip and comparison.
-	// Probes and relays have a fixed rate of their own.
+	// GossipBytesPerSecond bounds the bytes sent for gossip and for comparing
+	// digests. Probes and periodic relay messages have a fixed rate of their own.
 	GossipBytesPerSecond int
-	// Rand draws everything random. It is seeded from Self.ID and the time
-	// of the start if not set.
+	// Rand is the source of all random choices. If nil, it is seeded from Self.ID and
+	// the start time.
 	Rand *rand.Rand
 }
 
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// suspicionProbers is the number of VMs that go on probing a suspect,
-	// besides the one that suspected it first. One that lives hears of its
-	// suspicion from them even if most messages get lost.
-	suspicionProbers = 4
-	// hearsayFactor stretches the suspicion timeout for VMs that do not
-	// probe the suspect. Its refutation reaches them later than the others,
-	// so they only step in when the probers are gone.
-	hearsayFactor = 3
-	// massFactor stretches the suspicion timeout when more than half of the
-	// data centre is suspect: then this VM is more likely cut off than
-	// everybody else dead.
-	massFactor = 10
-	// maxForwarded bounds the indirect probes under way for others.
-	maxForwarded = 256
-	// contactInterval is the time between two tries to reach a VM that the
-	// list names, or one that is dead, in case a partition has healed.
+	// maxSuspectProbers is the number of VMs that continue to probe a suspect,
+	// besides the one that suspected it first. With several of them, a live
+	// suspect learns of the suspicion even if most messages are lost.
+	maxSuspectProbers = 4
+	// nonProberFactor extends the suspicion timeout for VMs that do not probe
+	// the suspect. Its refutation reaches them later than the probers, so they
+	// only declare it dead if the probers are gone.
+	nonProberFactor = 3
+	// massSuspicionFactor extends the suspicion timeout when more than half of
+	// the data centre is suspect: this VM is then more likely cut off than all
+	// others dead.
+	massSuspicionFactor = 10
+	// maxForwardedProbes bounds the pending indirect probes for other VMs.
+	maxForwardedProbes = 256
+	// contactInterval is the time between two attempts to reach a VM that only
+	// the list names, or a dead VM, in case a partition has healed.
 	contactInterval = 2 * time.Second
-	// joinContacts is the number of candidates that a VM without peers
-	// contacts at a time.
-	joinContacts = 3
+	// maxJoinContacts is the number of VMs contacted at a time by a VM that is
+	// starting or paused.
+	maxJoinContacts = 3
 )
 
-// probe is the probe under way.
+// probe is the pending probe.
 type probe struct {
 	target   *record // nil if none
 	seq      uint64
@@ -39,29 +39,29 @@
 	indirect bool
 }
 
-// forwarded is an indirect probe under way for another VM.
-type forwarded struct {
+// forwardedProbe is a pending indirect probe for another VM.
+type forwardedProbe struct {
 	origin  baobabstep.VMID
 	seq     uint64 // of the origin
 	expires time.Time
 }
 
-// probeNext judges the probe under way and starts the next one.
+// probeNext handles the timeouts of the pending probe and starts the next one.
 func (f *Fleet) probeNext(out *[]Out) {
 	p := &f.probe
-	if p.target != nil && !p.indirect && f.now.Sub(p.sentAt) >= f.o.ProbeTimeout {
+	if p.target != nil && !p.indirect && f.now.Sub(p.sentAt) >= f.options.ProbeTimeout {
 		p.indirect = true
 		f.probeIndirectly(out)
 	}
 	if f.now.Before(f.nextProbe) {
 		return
 	}
-	f.nextProbe = f.now.Add(f.o.ProbeInterval)
+	f.nextProbe = f.now.Add(f.options.ProbeInterval)
 	if p.target != nil {
-		f.missed(p.target)
+		f.probeFailed(p.target)
 	}
 	*p = probe{}
-	f.dropForwarded()
+	f.dropExpiredForwards()
 	target := f.nextTarget()
 	if target == nil {
 		return
@@ -70,20 +70,20 @@
 	f.ping(out, target, p.seq)
 }
 
-// nextTarget walks through the data centre in random order, so that the time
-// until a dead VM is probed has a bound.
+// nextTarget visits the VMs of the data centre in random order, one round after the
+// other, which bounds the time until a dead VM is probed.
 func (f *Fleet) nextTarget() *record {
 	for range 2 {
 		for len(f.probeQueue) > 0 {
 			last := len(f.probeQueue) - 1
 			r := f.probeQueue[last]
 			f.probeQueue = f.probeQueue[:last]
-			if r.dataCentre == f.own && living(r) {
+			if r.dataCentre == f.own && notDead(r) {
 				return r
 			}
 		}
 		for _, r := range f.own.records {
-			if r != f.me && living(r) {
+			if r != f.self && notDead(r) {
 				f.probeQueue = append(f.probeQueue, r)
 			}
 		}
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// ping sends a ping. A suspect is told that it is one.
+// ping sends a ping, with the receiver's entry if that is not alive, so that it can
+// refute.
 func (f *Fleet) ping(out *[]Out, to *record, seq uint64) {
 	m := message{Kind: kindPing, Seq: seq, Beats: f.beats()}
 	if to.vm.State != baobabstep.VMAlive {
@@ -107,106 +108,106 @@
 func (f *Fleet) probeIndirectly(out *[]Out) {
 	p := &f.probe
 	f.ping(out, p.target, p.seq)
-	fits := func(r *record) bool { return alive(r) && r != p.target }
-	for _, r := range f.pick(f.own, f.o.Relays, fits) {
+	match := func(r *record) bool { return alive(r) && r != p.target }
+	for _, r := range f.pickRandom(f.own, f.options.Relays, match) {
 		f.send(out, r, message{Kind: kindPingRequest, Seq: p.seq, Subject: p.target.vm.ID})
 	}
 }
 
-// missed handles a probe that nobody answered.
-func (f *Fleet) missed(r *record) {
+// probeFailed handles a probe without an answer, direct or indirect.
+func (f *Fleet) probeFailed(r *record) {
 	switch r.vm.State {
 	case baobabstep.VMAlive:
 		f.stats.Suspicions++
 		f.setState(r, baobabstep.VMSuspect)
-		r.accused = true
+		r.suspectedHere = true
 	case baobabstep.VMLeaving:
-		if r.since.IsZero() {
-			r.since = f.now
+		if r.stateSince.IsZero() {
+			r.stateSince = f.now
 		}
 	}
 }
 
-// Lost tells that a connection to a VM ended unexpectedly. A process that dies
-// loses its connections at once, long before its silence is noticed; but so
-// does one whose network had a hiccup. So the VM is pinged, and this VM alone
-// takes it for suspect if it does not answer within the probe timeout. The rest
-// goes its usual way: a VM is never declared dead sooner than ProbeInterval and
-// SuspicionTimeout after its last sign of life, since one that was paused for
-// less than that would not have noticed.
+// Lost reports that a connection to a VM ended unexpectedly. The connections of a
+// process that dies end at once, long before probes fail, but a brief network fault
+// can end them too. So the VM is pinged, and only this VM treats it as suspect if
+// it does not answer within ProbeTimeout. It is never declared dead sooner than
+// ProbeInterval and SuspicionTimeout after its last message, since a VM that was
+// paused for less than that would not have noticed.
 func (f *Fleet) Lost(now time.Time, id baobabstep.VMID) []Out {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observe(now)
+	f.advanceClock(now)
 	r := f.known[id]
-	if r == nil || r.dataCentre != f.own || r.vm.State != baobabstep.VMAlive || !r.doubted.IsZero() {
+	if r == nil || r.dataCentre != f.own || r.vm.State != baobabstep.VMAlive || !r.connectionLostAt.IsZero() {
 		return nil
 	}
-	r.doubted = f.now
+	r.connectionLostAt = f.now
 	f.stats.Lost++
 	var out []Out
 	f.ping(&out, r, f.nextSeq())
 	return out
 }
 
-// judgeSuspects declares dead who did not refute in time, and probes the
-// others again. Only VMs of the own data centre are judged.
-func (f *Fleet) judgeSuspects(out *[]Out) {
-	timeout := f.o.SuspicionTimeout
+// checkLocalVMs declares dead the VMs of the own data centre that did not refute in
+// time, and pings the remaining suspects again.
+func (f *Fleet) checkLocalVMs(out *[]Out) {
+	timeout := f.options.SuspicionTimeout
 	if f.massSuspicion() {
-		timeout *= massFactor
+		timeout *= massSuspicionFactor
 	}
 	for _, r := range f.own.records {
-		if r == f.me {
+		if r == f.self {
 			continue
 		}
 		switch r.vm.State {
 		case baobabstep.VMAlive:
-			f.judgeDoubted(r)
+			f.checkConnectionLoss(r)
 		case baobabstep.VMSuspect:
-			f.judgeSuspect(out, r, timeout)
+			f.checkSuspect(out, r, timeout)
 		case baobabstep.VMLeaving:
-			if !r.since.IsZero() && f.now.Sub(r.since) >= f.o.SuspicionTimeout {
+			if !r.stateSince.IsZero() && f.now.Sub(r.stateSince) >= f.options.SuspicionTimeout {
 				f.declareDead(r)
 			}
 		}
 	}
 }
 
-func (f *Fleet) judgeDoubted(r *record) {
-	if r.doubted.IsZero() {
+// checkConnectionLoss handles a VM that does not answer after its connection was lost.
+func (f *Fleet) checkConnectionLoss(r *record) {
+	if r.connectionLostAt.IsZero() {
 		return
 	}
-	silence := f.now.Sub(r.doubted)
-	if silence >= f.o.ProbeTimeout && !r.shaky {
-		r.shaky = true
-		f.stale.Store(true)
+	silence := f.now.Sub(r.connectionLostAt)
+	if silence >= f.options.ProbeTimeout && !r.unresponsive {
+		r.unresponsive = true
+		f.viewStale.Store(true)
 	}
-	if silence >= f.o.ProbeInterval {
-		f.trust(r)
-		f.missed(r)
+	if silence >= f.options.ProbeInterval {
+		f.clearConnectionLoss(r)
+		f.probeFailed(r)
 	}
 }
 
-// trust ends the doubt that a lost connection raised.
-func (f *Fleet) trust(r *record) {
-	r.doubted = time.Time{}
-	if r.shaky {
-		r.shaky = false
-		f.stale.Store(true)
+// clearConnectionLoss resets what a lost connection set.
+func (f *Fleet) clearConnectionLoss(r *record) {
+	r.connectionLostAt = time.Time{}
+	if r.unresponsive {
+		r.unresponsive = false
+		f.viewStale.Store(true)
 	}
 }
 
-func (f *Fleet) judgeSuspect(out *[]Out, r *record, timeout time.Duration) {
-	probes := r.accused || f.probesSuspect(r)
+func (f *Fleet) checkSuspect(out *[]Out, r *record, timeout time.Duration) {
+	probes := r.suspectedHere || f.probesSuspect(r)
 	if !probes {
-		timeout *= hearsayFactor
+		timeout *= nonProberFactor
 	}
 	switch {
-	case f.now.Sub(r.since) >= timeout:
+	case f.now.Sub(r.stateSince) >= timeout:
 		f.declareDead(r)
 	case probes && !f.now.Before(r.nextPing):
-		r.nextPing = f.now.Add(f.o.ProbeTimeout / 2)
+		r.nextPing = f.now.Add(f.options.ProbeTimeout / 2)
 		f.ping(out, r, f.nextSeq())
 	}
 }
@@ -225,19 +226,20 @@
 	return 2*suspects > members
 }
 
-// probesSuspect reports whether this VM is one of those that probe a suspect.
+// probesSuspect reports whether rendezvous hashing selects this VM as a prober of a
+// suspect.
 func (f *Fleet) probesSuspect(suspect *record) bool {
-	better := 0
-	score := mix(uint64(f.me.vm.ID), uint64(suspect.vm.ID), 2)
+	higher := 0
+	score := mixHash(uint64(f.self.vm.ID), uint64(suspect.vm.ID), 2)
 	for _, r := range f.own.records {
-		if r != f.me && alive(r) && mix(uint64(r.vm.ID), uint64(suspect.vm.ID), 2) > score {
-			better++
+		if r != f.self && alive(r) && mixHash(uint64(r.vm.ID), uint64(suspect.vm.ID), 2) > score {
+			higher++
 		}
 	}
-	return better < suspicionProbers
+	return higher < maxSuspectProbers
 }
 
-// acknowledge handles the answer to a ping.
+// acknowledge handles the answer to a ping, or to an indirect probe.
 func (f *Fleet) acknowledge(out *[]Out, from baobabstep.VMID, m *message) {
 	p := &f.probe
 	if p.target != nil && m.Seq == p.seq && (from == p.target.vm.ID || m.Subject == p.target.vm.ID) {
@@ -246,86 +248,85 @@
 	if m.Subject != 0 {
 		return
 	}
-	f.reacknowledged(m.Seq)
-	if fw, ok := f.forwarded[m.Seq]; ok {
-		delete(f.forwarded, m.Seq)
+	f.endPauseIfAnswered(m.Seq)
+	if fw, ok := f.forwardedProbes[m.Seq]; ok {
+		delete(f.forwardedProbes, m.Seq)
 		reply := message{Kind: kindAck, Seq: fw.seq, Subject: from}
 		if r := f.known[from]; r != nil {
 			reply.News = append(reply.News, r.entry())
 		}
-		f.sendTo(out, fw.origin, reply)
+		f.sendToID(out, fw.origin, reply)
 	}
 }
 
 // forwardProbe pings a VM on behalf of another.
 func (f *Fleet) forwardProbe(out *[]Out, from baobabstep.VMID, m *message) {
 	r := f.known[m.Subject]
-	if r == nil || r == f.me || len(f.forwarded) >= maxForwarded {
+	if r == nil || r == f.self || len(f.forwardedProbes) >= maxForwardedProbes {
 		return
 	}
 	seq := f.nextSeq()
-	f.forwarded[seq] = forwarded{origin: from, seq: m.Seq, expires: f.now.Add(f.o.ProbeInterval)}
+	f.forwardedProbes[seq] = forwardedProbe{origin: from, seq: m.Seq, expires: f.now.Add(f.options.ProbeInterval)}
 	f.ping(out, r, seq)
 }
 
-func (f *Fleet) dropForwarded() {
-	for seq, fw := range f.forwarded {
+func (f *Fleet) dropExpiredForwards() {
+	for seq, fw := range f.forwardedProbes {
 		if f.now.After(fw.expires) {
-			delete(f.forwarded, seq)
+			delete(f.forwardedProbes, seq)
 		}
 	}
 }
 
-// contact pings VMs that nobody has spoken of, or that are thought dead. It is
-// how a VM joins, how separate groups find each other, and how they find each
-// other again when each has declared the other dead.
-func (f *Fleet) contact(out *[]Out) {
+// sendContactPings pings VMs that only the list names, or that are dead. This is how
+// a VM joins and how separate groups find each other, also after each has declared
+// the other dead. While starting or paused, it also pings alive peers.
+func (f *Fleet) sendContactPings(out *[]Out) {
 	if f.now.Before(f.nextContact) {
 		return
 	}
-	if !f.pause.on && !f.pause.starting {
+	if !f.pause.active && !f.pause.starting {
 		f.nextContact = f.now.Add(contactInterval)
-		f.contactStrangers(out, 1, false)
+		f.pingUnconfirmed(out, 1, false)
 		return
 	}
-	f.nextContact = f.now.Add(f.o.ProbeTimeout)
-	for _, r := range f.peersAnywhere(joinContacts) {
+	f.nextContact = f.now.Add(f.options.ProbeTimeout)
+	for _, r := range f.pickAlivePeers(maxJoinContacts) {
 		f.ping(out, r, f.nextSeq())
 	}
-	f.contactStrangers(out, joinContacts-1, true)
-	f.contactStrangers(out, 1, false)
+	f.pingUnconfirmed(out, maxJoinContacts-1, true)
+	f.pingUnconfirmed(out, 1, false)
 }
 
-// peersAnywhere returns up to n VMs thought alive, of the own data centre if
-// it has any.
-func (f *Fleet) peersAnywhere(n int) []*record {
-	picked := f.pick(f.own, n, alive)
-	for _, d := range f.sorted {
+// pickAlivePeers returns up to n alive VMs, of the own data centre if it has any.
+func (f *Fleet) pickAlivePeers(n int) []*record {
+	picked := f.pickRandom(f.own, n, alive)
+	for _, d := range f.sortedDataCentres {
 		if len(picked) == 0 && d != f.own {
-			picked = f.pick(d, n, alive)
+			picked = f.pickRandom(d, n, alive)
 		}
 	}
 	return picked
 }
 
-// contactStrangers pings up to n candidates or dead VMs, only those of the
-// own data centre if near is set.
-func (f *Fleet) contactStrangers(out *[]Out, n int, near bool) {
-	var strangers []*record
+// pingUnconfirmed pings up to n random candidates or dead VMs. localOnly limits the
+// candidates to the own data centre.
+func (f *Fleet) pingUnconfirmed(out *[]Out, n int, localOnly bool) {
+	var targets []*record
 	for _, vm := range f.candidates {
-		if !near || vm.Region == f.me.vm.Region && vm.DataCentre == f.me.vm.DataCentre {
-			strangers = append(strangers, &record{vm: vm})
+		if !localOnly || vm.Region == f.self.vm.Region && vm.DataCentre == f.self.vm.DataCentre {
+			targets = append(targets, &record{vm: vm})
 		}
 	}
 	for _, r := range f.own.records {
-		if !living(r) {
-			strangers = append(strangers, r)
+		if !notDead(r) {
+			targets = append(targets, r)
 		}
 	}
-	slices.SortFunc(strangers, func(a, b *record) int { return cmp.Compare(a.vm.ID, b.vm.ID) })
-	for range min(n, len(strangers)) {
-		i := f.rand.IntN(len(strangers))
-		f.ping(out, strangers[i], f.nextSeq())
-		strangers = slices.Delete(strangers, i, i+1)
+	slices.SortFunc(targets, func(a, b *record) int { return cmp.Compare(a.vm.ID, b.vm.ID) })
+	for range min(n, len(targets)) {
+		i := f.rand.IntN(len(targets))
+		f.ping(out, targets[i], f.nextSeq())
+		targets = slices.Delete(targets, i, i+1)
 	}
 }
--- a/core/member/random_test.go
+++ b/core/member/random_test.go
@@ -21,24 +21,24 @@
 	os.Exit(m.Run())
 }
 
-// watch checks what must hold at every moment: no incarnation ever falls, in
-// nobody's eyes, and no VM is missing from its own view unless it is leaving.
-type watch struct {
-	seen map[*member.Fleet]map[baobabstep.VMID]uint64
+// invariantChecker checks that no VM's incarnation decreases in any fleet, and that
+// a VM is in its own view unless it is leaving.
+type invariantChecker struct {
+	incarnations map[*member.Fleet]map[baobabstep.VMID]uint64
 }
 
-func (w *watch) check(t testing.TB, x *exchange, leaving map[*member.Fleet]bool) {
-	for _, id := range x.order() {
+func (w *invariantChecker) check(t testing.TB, x *simNetwork, leaving map[*member.Fleet]bool) {
+	for _, id := range x.sortedIDs() {
 		f := x.fleets[id]
 		if x.paused[id] {
 			continue
 		}
-		if w.seen[f] == nil {
-			w.seen[f] = make(map[baobabstep.VMID]uint64)
+		if w.incarnations[f] == nil {
+			w.incarnations[f] = make(map[baobabstep.VMID]uint64)
 		}
 		for _, vm := range f.All(x.now) {
-			qt.Assert(t, vm.Incarnation >= w.seen[f][vm.ID], qt.IsTrue, qt.Commentf("%s fell to %d", vm.Name, vm.Incarnation))
-			w.seen[f][vm.ID] = vm.Incarnation
+			qt.Assert(t, vm.Incarnation >= w.incarnations[f][vm.ID], qt.IsTrue, qt.Commentf("incarnation of %s decreased to %d", vm.Name, vm.Incarnation))
+			w.incarnations[f][vm.ID] = vm.Incarnation
 		}
 		v := f.View(x.now)
 		self := slices.ContainsFunc(v.Members, func(vm baobabstep.VM) bool { return vm.ID == v.Self })
@@ -47,13 +47,12 @@
 	}
 }
 
-// Whatever happens, in whatever order, the views agree with the truth once it
-// stops to happen.
+// All views converge to the running VMs after any sequence of faults has ended.
 func TestRandomRuns(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		x := three(t, 12)
-		w := &watch{seen: make(map[*member.Fleet]map[baobabstep.VMID]uint64)}
+		x := startFleet(t, 12)
+		w := &invariantChecker{incarnations: make(map[*member.Fleet]map[baobabstep.VMID]uint64)}
 		leaving := make(map[*member.Fleet]bool)
 		var names []string
 		for name := range x.vms {
@@ -87,17 +86,17 @@
 			},
 			"cut": func(rt *rapid.T) {
 				one := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "data centre")
-				x.cut = func(from, to baobabstep.VM) bool { return (from.DataCentre == one) != (to.DataCentre == one) }
+				x.blocked = func(from, to baobabstep.VM) bool { return (from.DataCentre == one) != (to.DataCentre == one) }
 			},
-			"heal": func(*rapid.T) { x.cut = nil },
-			"loss": func(rt *rapid.T) { x.loss = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(rt, "loss") },
+			"heal": func(*rapid.T) { x.blocked = nil },
+			"loss": func(rt *rapid.T) { x.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(rt, "loss") },
 			"list": func(rt *rapid.T) {
 				if name := pick.Draw(rt, "name"); running(name) {
-					x.fleet(name).Seeds(x.now, x.list(pick.Draw(rt, "first"), pick.Draw(rt, "second")))
+					x.fleet(name).Seeds(x.now, x.vmList(pick.Draw(rt, "first"), pick.Draw(rt, "second")))
 				}
 			},
 			"": func(rt *rapid.T) {
-				x.run(time.Duration(rapid.IntRange(1, 40).Draw(rt, "ticks")) * tick)
+				x.run(time.Duration(rapid.IntRange(1, 40).Draw(rt, "ticks")) * tickInterval)
 				w.check(t, x, leaving)
 			},
 		})
@@ -105,10 +104,10 @@
 	})
 }
 
-// settle ends all faults, restarts what is down and checks that all views
-// agree, from the list's news or their own.
-func (x *exchange) settle(names []string, leaving map[*member.Fleet]bool) {
-	x.cut, x.loss = nil, 0
+// settle ends all faults, restarts stopped and leaving VMs, passes the full list to
+// all VMs and checks that their views agree.
+func (x *simNetwork) settle(names []string, leaving map[*member.Fleet]bool) {
+	x.blocked, x.lossRate = nil, 0
 	clear(x.paused)
 	for _, name := range names {
 		if f := x.fleet(name); f == nil || leaving[f] {
@@ -116,14 +115,14 @@
 		}
 	}
 	for _, f := range x.fleets {
-		f.Seeds(x.now, x.list(names...))
+		f.Seeds(x.now, x.vmList(names...))
 	}
 	x.run(25 * time.Second)
 	x.assertConverged(len(names))
 }
 
-// FuzzHandle feeds bytes of a peer that went wrong. Nothing may break, and
-// nothing may make a VM give up itself.
+// FuzzHandle feeds arbitrary bytes from a faulty peer. Handle must not panic, and the
+// VM must stay in its own view.
 func FuzzHandle(f *testing.F) {
 	now := time.Unix(1e9, 0)
 	vm := func(name string) baobabstep.VM {
@@ -132,7 +131,7 @@
 	other := member.New(now, member.Options{Self: vm("b")})
 	other.Seeds(now, []baobabstep.VM{vm("a")})
 	for i := range 40 {
-		for _, out := range other.Tick(now.Add(time.Duration(i) * tick)) {
+		for _, out := range other.Tick(now.Add(time.Duration(i) * tickInterval)) {
 			f.Add(out.Body)
 		}
 	}
@@ -142,13 +141,13 @@
 		fleet := member.New(now, member.Options{Self: vm("a")})
 		fleet.Seeds(now, []baobabstep.VM{vm("b")})
 		for i := range 30 {
-			at := now.Add(time.Duration(i) * tick)
+			at := now.Add(time.Duration(i) * tickInterval)
 			for _, out := range fleet.Handle(at, baobabstep.MakeVMID("b"), body) {
 				qt.Assert(t, len(out.Body) < 48<<10, qt.IsTrue)
 			}
 			fleet.Tick(at)
 		}
-		members := fleet.View(now.Add(30 * tick)).Members
+		members := fleet.View(now.Add(30 * tickInterval)).Members
 		qt.Assert(t, slices.ContainsFunc(members, func(m baobabstep.VM) bool { return m.Name == "a" }), qt.IsTrue)
 	})
 }
--- a/core/member/record.go
+++ b/core/member/record.go
@@ -10,37 +10,37 @@
 	"baobabstep"
 )
 
-// record is what this VM knows of one VM. Known to be dead is kept too, so
-// that old news does not bring the dead back.
+// record is what this VM knows of one VM. Records of dead VMs are kept too, so that
+// outdated entries do not add them again.
 type record struct {
 	vm         baobabstep.VM
 	nonce      uint64
 	dataCentre *dataCentre
-	// since is when the VM became suspect or dead here; for one that is
-	// leaving, when it stopped to answer.
-	since time.Time
-	// changed is the number of the last change of vm; see [Fleet.changes].
-	changed uint64
-	// sum is the record's share of the digest, 0 for the dead.
+	// stateSince is when the VM became suspect or dead here. For a leaving VM it is
+	// when the VM stopped answering, zero while it answers.
+	stateSince time.Time
+	// changeNumber is the number of the last change of vm; see [Fleet.changeCount].
+	changeNumber uint64
+	// sum is the record's contribution to the digest, 0 for dead VMs.
 	sum uint64
-	// acked is the incarnation of this VM that the other one knows.
-	acked uint64
-	// listed tells that the platform's list named the VM, listedNow that
-	// its last version did.
-	listed, listedNow bool
-	// sendsLeft counts the messages that still have to carry the record as
-	// news; queued tells that it is in the queue.
+	// ackedIncarnation is the incarnation of this VM that the other VM knows.
+	ackedIncarnation uint64
+	// everListed is set once the platform's list has named the VM, listed if its
+	// latest version does.
+	everListed, listed bool
+	// sendsLeft is the number of messages that still have to carry the record as
+	// news; queued is set while it is in the queue.
 	sendsLeft int
 	queued    bool
-	// doubted is when the connection to the VM was lost, zero if it has been
-	// heard since; shaky tells that it did not answer for a probe timeout.
-	doubted time.Time
-	shaky   bool
-	// accused tells that this VM itself found the other one silent.
-	accused bool
-	// nextPing is the time of the next extra ping of a suspect.
+	// connectionLostAt is when the connection to the VM was lost, zero if a message
+	// arrived since. unresponsive is set if none does within ProbeTimeout.
+	connectionLostAt time.Time
+	unresponsive     bool
+	// suspectedHere is set if this VM's own probe of the other VM failed.
+	suspectedHere bool
+	// nextPing is the time of the next additional ping of a suspect.
 	nextPing time.Time
-	// nextCorrection is the earliest time of the next unasked correction.
+	// nextCorrection is the earliest time of the next sendCorrection.
 	nextCorrection time.Time
 }
 
@@ -50,14 +50,15 @@
 	name, region string
 	records      []*record // sorted by ID
 	digest       uint64
-	// lastChanged is the highest number in changed of its records.
-	lastChanged uint64
-	// beat is the highest beat heard, beatAt when it grew.
+	// lastChange is the highest changeNumber of its records.
+	lastChange uint64
+	// beat is the highest beat received, beatAt when it last grew.
 	beat   uint64
 	beatAt time.Time
-	// silent and cut are the judgements of judgeDataCentres.
-	silent, cut bool
-	role        role
+	// silent is set after DataCentreSilence without a beat, partitioned after a
+	// further PartitionTimeout.
+	silent, partitioned bool
+	role                role
 }
 
 func dataCentreKey(region, name string) uint64 {
@@ -72,14 +73,13 @@
 	}
 }
 
-// supersedes reports whether vm with nonce is newer than r. The nonce decides
-// between two processes that chose the same incarnation; any order would do,
-// as long as every VM has the same.
+// supersedes reports whether vm with nonce is newer than r. The nonce orders two
+// processes with the same incarnation; any order works if all VMs use the same.
 func supersedes(vm baobabstep.VM, nonce uint64, r *record) bool {
 	return compareVersions(vm.Incarnation, vm.State, nonce, r) > 0
 }
 
-// isNewer reports whether r is newer than what the sender of m says of itself.
+// isNewer reports whether r is newer than the sender's state in the header of m.
 func (r *record) isNewer(m *message) bool {
 	return compareVersions(m.Incarnation, m.State, m.Nonce, r) < 0
 }
@@ -91,8 +91,8 @@
 		cmp.Compare(nonce, r.nonce))
 }
 
-// mix returns a well-spread hash of three words.
-func mix(a, b, c uint64) uint64 {
+// mixHash returns a well-distributed hash of three words.
+func mixHash(a, b, c uint64) uint64 {
 	h := a
 	for _, word := range [...]uint64{b, c} {
 		h = (h ^ h>>32) * 0xd6e8feb86659fd93
@@ -107,7 +107,7 @@
 	if r.vm.State == baobabstep.VMDead {
 		return 0
 	}
-	return mix(mix(uint64(r.vm.ID), r.vm.Incarnation, uint64(r.vm.State)), r.nonce, 1)
+	return mixHash(mixHash(uint64(r.vm.ID), r.vm.Incarnation, uint64(r.vm.State)), r.nonce, 1)
 }
 
 func findRecord(records []*record, id baobabstep.VMID) (int, bool) {
@@ -131,46 +131,46 @@
 	}
 }
 
-// dataCentreOf returns the data centre of vm, which it may have to create. A
-// new one counts as just heard of, so that it gets its time to speak.
+// dataCentreOf returns the data centre of vm and creates it if necessary. A new one
+// gets the full DataCentreSilence before it counts as silent.
 func (f *Fleet) dataCentreOf(vm baobabstep.VM) *dataCentre {
 	key := dataCentreKey(vm.Region, vm.DataCentre)
 	d := f.dataCentres[key]
 	if d == nil {
 		d = &dataCentre{key: key, name: vm.DataCentre, region: vm.Region, beatAt: f.now}
 		f.dataCentres[key] = d
-		i, _ := slices.BinarySearchFunc(f.sorted, key, func(d *dataCentre, key uint64) int {
+		i, _ := slices.BinarySearchFunc(f.sortedDataCentres, key, func(d *dataCentre, key uint64) int {
 			return cmp.Compare(d.key, key)
 		})
-		f.sorted = slices.Insert(f.sorted, i, d)
+		f.sortedDataCentres = slices.Insert(f.sortedDataCentres, i, d)
 	}
 	return d
 }
 
-// Conditions for pick.
-func alive(r *record) bool  { return r.vm.State == baobabstep.VMAlive }
-func living(r *record) bool { return r.vm.State != baobabstep.VMDead }
-func anyOne(*record) bool   { return true }
+// Conditions for pickRandom.
+func alive(r *record) bool   { return r.vm.State == baobabstep.VMAlive }
+func notDead(r *record) bool { return r.vm.State != baobabstep.VMDead }
+func anyState(*record) bool  { return true }
 
-// pick returns up to n random records of a data centre, this VM left out.
-func (f *Fleet) pick(d *dataCentre, n int, fits func(*record) bool) []*record {
+// pickRandom returns up to n random records of a data centre, except this VM's.
+func (f *Fleet) pickRandom(d *dataCentre, n int, match func(*record) bool) []*record {
 	var picked []*record
 	size := len(d.records)
 	if size == 0 {
 		return nil
 	}
-	// A few random draws are enough in a large data centre; a walk from a
-	// random place finds what there is when few records fit.
+	// A few random draws suffice in a large data centre. The scan from a random
+	// start finds the remaining records when few match.
 	for range 3 * n {
 		r := d.records[f.rand.IntN(size)]
-		if len(picked) < n && r != f.me && fits(r) && !slices.Contains(picked, r) {
+		if len(picked) < n && r != f.self && match(r) && !slices.Contains(picked, r) {
 			picked = append(picked, r)
 		}
 	}
 	first := f.rand.IntN(size)
 	for i := 0; i < size && len(picked) < n; i++ {
 		r := d.records[(first+i)%size]
-		if r != f.me && fits(r) && !slices.Contains(picked, r) {
+		if r != f.self && match(r) && !slices.Contains(picked, r) {
 			picked = append(picked, r)
 		}
 	}
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -9,34 +9,34 @@
 	"baobabstep"
 )
 
-// quickSync is the time to the next comparison after one that found a
-// difference.
-const quickSync = 400 * time.Millisecond
+// quickSyncInterval is the time to the next comparison of digests after one that
+// found a difference.
+const quickSyncInterval = 400 * time.Millisecond
 
-// itemBytes is a generous size of one item of a summary, for estimates.
-const itemBytes = 32
+// estimatedItemBytes is an upper estimate of the encoded size of a summary item.
+const estimatedItemBytes = 32
 
-// compare sends digests to a random VM of the own data centre. Other data
-// centres get theirs from the relays.
-func (f *Fleet) compare(out *[]Out) {
+// startSync sends digests to a random VM of the own data centre. Relays send them
+// to other data centres.
+func (f *Fleet) startSync(out *[]Out) {
 	if f.now.Before(f.nextSync) {
 		return
 	}
-	f.nextSync = f.now.Add(f.o.SyncInterval)
-	for _, r := range f.pick(f.own, 1, alive) {
+	f.nextSync = f.now.Add(f.options.SyncInterval)
+	for _, r := range f.pickRandom(f.own, 1, alive) {
 		f.send(out, r, message{Kind: kindSync, Digests: f.digests()})
 	}
 }
 
 func (f *Fleet) digests() []digest {
 	digests := make([]digest, 0, len(f.dataCentres))
-	for _, d := range f.sorted {
+	for _, d := range f.sortedDataCentres {
 		digests = append(digests, digest{DataCentre: d.key, Digest: d.digest})
 	}
 	return digests
 }
 
-// answerSync sends a summary of one data centre that differs.
+// answerSync sends a summary of one data centre whose digest differs.
 func (f *Fleet) answerSync(out *[]Out, from baobabstep.VMID, m *message) {
 	if len(m.Digests) == 0 {
 		return
@@ -46,7 +46,7 @@
 		theirs[d.DataCentre] = d.Digest
 	}
 	var differing []*dataCentre
-	for _, d := range f.sorted {
+	for _, d := range f.sortedDataCentres {
 		if theirs[d.key] != d.digest {
 			differing = append(differing, d)
 		}
@@ -55,16 +55,16 @@
 		return
 	}
 	s := f.summarize(f.chooseDataCentre(differing))
-	if !f.budget.take(f.now, itemBytes*len(s.Items)) {
+	if !f.budget.take(f.now, estimatedItemBytes*len(s.Items)) {
 		f.stats.Saved++
 		return
 	}
-	f.sendTo(out, from, message{Kind: kindSummary, Summary: s})
+	f.sendToID(out, from, message{Kind: kindSummary, Summary: s})
 }
 
-// chooseDataCentre prefers the own data centre, then its region, since the own
-// view depends on them. Every other time the choice is open, so that one that
-// differs all the time does not hide the others.
+// chooseDataCentre prefers the own data centre, then its region, because the view
+// depends on them. Half of the choices are random, so that a data centre that
+// always differs does not starve the others.
 func (f *Fleet) chooseDataCentre(list []*dataCentre) *dataCentre {
 	if f.rand.IntN(2) == 0 {
 		return list[f.rand.IntN(len(list))]
@@ -83,8 +83,8 @@
 	}
 }
 
-// summarize lists a data centre, or a random page of one that is too large for
-// a message.
+// summarize lists a data centre, or a random page of it if it has more than
+// maxSummary records.
 func (f *Fleet) summarize(d *dataCentre) *summary {
 	s := &summary{DataCentre: d.key, To: math.MaxUint64}
 	size := len(d.records)
@@ -98,44 +98,45 @@
 		s.To = d.records[end].vm.ID - 1
 	}
 	for _, r := range d.records[first:end] {
-		if living(r) {
+		if notDead(r) {
 			s.Items = append(s.Items, item{ID: r.vm.ID, Incarnation: r.vm.Incarnation, State: r.vm.State, Nonce: r.nonce})
 		}
 	}
 	return s
 }
 
-// answerSummary sends what the other VM lacks and asks for what this one does.
+// answerSummary sends entries that the other VM lacks and requests those that this
+// one lacks.
 func (f *Fleet) answerSummary(out *[]Out, from baobabstep.VMID, m *message) {
 	s := m.Summary
 	if s == nil {
 		f.stats.Malformed++
 		return
 	}
-	// There is a difference, be it on this page or on another.
-	if soon := f.now.Add(quickSync); soon.Before(f.nextSync) {
+	// A summary means that the digests differ, on this page or another.
+	if soon := f.now.Add(quickSyncInterval); soon.Before(f.nextSync) {
 		f.nextSync = soon
 	}
 	reply := message{Kind: kindEntries}
 	listed := make(map[baobabstep.VMID]bool, len(s.Items))
 	for i := range s.Items {
-		it := &s.Items[i]
-		listed[it.ID] = true
-		r := f.known[it.ID]
+		listedItem := &s.Items[i]
+		listed[listedItem.ID] = true
+		r := f.known[listedItem.ID]
 		order := 1
 		if r != nil {
-			order = compareVersions(it.Incarnation, it.State, it.Nonce, r)
+			order = compareVersions(listedItem.Incarnation, listedItem.State, listedItem.Nonce, r)
 		}
 		switch {
 		case order > 0:
-			reply.Wanted = append(reply.Wanted, it.ID)
+			reply.Wanted = append(reply.Wanted, listedItem.ID)
 		case order < 0:
 			reply.News = append(reply.News, r.entry())
 		}
 	}
 	if d := f.dataCentres[s.DataCentre]; d != nil {
 		for _, r := range d.records {
-			if living(r) && r.vm.ID >= s.From && r.vm.ID <= s.To && !listed[r.vm.ID] {
+			if notDead(r) && r.vm.ID >= s.From && r.vm.ID <= s.To && !listed[r.vm.ID] {
 				reply.News = append(reply.News, r.entry())
 			}
 		}
@@ -143,25 +144,25 @@
 	f.sendEntries(out, from, reply)
 }
 
-// sendEntries sends a piece of what was collected. The next comparison finds
-// the rest; which piece comes first is random, so that no entry has to wait
-// for ever behind others.
+// sendEntries sends a random selection of entries and requests within the message
+// limits. The next comparison finds the rest; the random choice keeps any entry
+// from waiting indefinitely behind others.
 func (f *Fleet) sendEntries(out *[]Out, to baobabstep.VMID, m message) {
 	if len(m.News) == 0 && len(m.Wanted) == 0 {
 		return
 	}
 	f.rand.Shuffle(len(m.News), func(i, j int) { m.News[i], m.News[j] = m.News[j], m.News[i] })
 	f.rand.Shuffle(len(m.Wanted), func(i, j int) { m.Wanted[i], m.Wanted[j] = m.Wanted[j], m.Wanted[i] })
-	m.News = m.News[:min(len(m.News), maxGive)]
+	m.News = m.News[:min(len(m.News), maxEntries)]
 	m.Wanted = m.Wanted[:min(len(m.Wanted), maxWanted)]
-	if !f.budget.take(f.now, entryBytes*len(m.News)+9*len(m.Wanted)) {
+	if !f.budget.take(f.now, estimatedEntryBytes*len(m.News)+9*len(m.Wanted)) {
 		f.stats.Saved++
 		return
 	}
-	f.sendTo(out, to, m)
+	f.sendToID(out, to, m)
 }
 
-// answerWanted sends the entries that the other VM asked for.
+// answerWanted sends the entries that the other VM requested.
 func (f *Fleet) answerWanted(out *[]Out, from baobabstep.VMID, m *message) {
 	wanted := m.Wanted[:min(len(m.Wanted), maxWanted)]
 	reply := message{Kind: kindEntries}
@@ -173,25 +174,24 @@
 	if len(reply.News) == 0 {
 		return
 	}
-	if !f.budget.take(f.now, entryBytes*len(reply.News)) {
+	if !f.budget.take(f.now, estimatedEntryBytes*len(reply.News)) {
 		f.stats.Saved++
 		return
 	}
-	f.sendTo(out, from, reply)
+	f.sendToID(out, from, reply)
 }
 
-// changedSince returns up to n records of a data centre that changed after a
-// number of [Fleet.changes], the oldest change first, and the number up to
-// which the list is complete.
+// changedSince returns up to n records of a data centre with a changeNumber above
+// after, the oldest change first, and the number up to which the list is complete.
 func (f *Fleet) changedSince(d *dataCentre, after uint64, n int) (records []*record, upTo uint64) {
 	for _, r := range d.records {
-		if r.changed > after {
+		if r.changeNumber > after {
 			records = append(records, r)
 		}
 	}
 	if len(records) <= n {
-		return records, f.changes
+		return records, f.changeCount
 	}
-	slices.SortFunc(records, func(a, b *record) int { return cmp.Compare(a.changed, b.changed) })
-	return records[:n], records[n-1].changed
+	slices.SortFunc(records, func(a, b *record) int { return cmp.Compare(a.changeNumber, b.changeNumber) })
+	return records[:n], records[n-1].changeNumber
 }
--- a/core/member/sync_test.go
+++ b/core/member/sync_test.go
@@ -10,14 +10,13 @@
 	"baobabstep"
 )
 
-// A VM that missed the news of one other finds it by comparing pages. When
-// pages began at random places, the first entries of a data centre were hardly
-// ever on one, and a few views stayed incomplete for minutes after the whole
-// fleet had started at once. So every entry has to be on one page in a few.
+// Summary pages must cover all entries of a data centre. With pages that began at
+// random offsets, the first entries were hardly ever listed, and some views stayed
+// incomplete for minutes after the whole fleet had started at once.
 func TestSummaryPagesCoverTheDataCentre(t *testing.T) {
 	for _, n := range []int{1, 2, maxSummary, maxSummary + 1, 3 * maxSummary} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			f := fullFleet(time.Unix(1e9, 0), 0, n, 1)
+			f := newFullFleet(time.Unix(1e9, 0), 0, n, 1)
 			listed := make(map[baobabstep.VMID]bool)
 			covered := make(map[baobabstep.VMID]bool)
 			for range 10 * (1 + n/maxSummary) {
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -8,34 +8,34 @@
 	"baobabstep"
 )
 
-// View returns the membership of the own region. The pointer stays the same
-// while nothing changed. It does not take the lock unless something did.
+// View returns the membership of the own region. The pointer stays the same while
+// nothing changes, and the lock is only taken after a change or a pause.
 func (f *Fleet) View(now time.Time) *baobabstep.View {
-	sinceTick := now.Sub(f.start) - time.Duration(f.ticked.Load())
-	if v := f.view.Load(); v != nil && !f.stale.Load() && sinceTick <= f.o.PauseLimit {
+	sinceTick := now.Sub(f.start) - time.Duration(f.lastTick.Load())
+	if v := f.view.Load(); v != nil && !f.viewStale.Load() && sinceTick <= f.options.PauseLimit {
 		return v
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observe(now)
+	f.advanceClock(now)
 	return f.buildView()
 }
 
 func (f *Fleet) buildView() *baobabstep.View {
 	old := f.view.Load()
-	if old != nil && !f.stale.Load() {
+	if old != nil && !f.viewStale.Load() {
 		return old
 	}
-	f.stale.Store(false)
-	v := &baobabstep.View{Number: 1, Self: f.me.vm.ID, ChangedAt: f.now, Unsure: f.unsure()}
-	for _, d := range f.sorted {
+	f.viewStale.Store(false)
+	v := &baobabstep.View{Number: 1, Self: f.self.vm.ID, ChangedAt: f.now, Unsure: f.unsure()}
+	for _, d := range f.sortedDataCentres {
 		if d.region != f.own.region {
 			continue
 		}
 		for _, r := range d.records {
-			vm := f.seen(r)
+			vm := f.effectiveVM(r)
 			v.Unsure = v.Unsure || vm.State == baobabstep.VMSuspect && !vm.Joining
-			if vm.State <= baobabstep.VMSuspect && !vm.Joining && !d.cut {
+			if vm.State <= baobabstep.VMSuspect && !vm.Joining && !d.partitioned {
 				v.Members = append(v.Members, vm)
 			}
 		}
@@ -54,17 +54,17 @@
 	return v
 }
 
-// unsure reports what makes a view unsure besides suspects.
+// unsure reports whether the view is unsure for reasons other than suspects.
 func (f *Fleet) unsure() bool {
-	return f.pause.on || f.pause.starting || !f.pause.until.IsZero()
+	return f.pause.active || f.pause.starting || !f.pause.unsureUntil.IsZero()
 }
 
-// seen returns a VM as others of this program should see it: the VMs of a
-// silent data centre are suspect, whatever the last news of them was, and so is
-// one that does not answer after its connection was lost.
-func (f *Fleet) seen(r *record) baobabstep.VM {
+// effectiveVM returns a VM with the state that the rest of the program sees: alive
+// VMs of a silent data centre are suspect, and so is a VM that does not answer
+// after its connection was lost.
+func (f *Fleet) effectiveVM(r *record) baobabstep.VM {
 	vm := r.vm
-	if (r.dataCentre.silent || r.shaky) && vm.State == baobabstep.VMAlive {
+	if (r.dataCentre.silent || r.unresponsive) && vm.State == baobabstep.VMAlive {
 		vm.State = baobabstep.VMSuspect
 	}
 	return vm
@@ -74,14 +74,14 @@
 
 func sameID(a, b baobabstep.VM) bool { return a.ID == b.ID }
 
-// All returns every VM known, of all regions and in all states, sorted by ID.
+// All returns every known VM, of all regions and in all states, sorted by ID.
 func (f *Fleet) All(now time.Time) []baobabstep.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observe(now)
+	f.advanceClock(now)
 	vms := make([]baobabstep.VM, 0, len(f.known))
 	for _, r := range f.known {
-		vms = append(vms, f.seen(r))
+		vms = append(vms, f.effectiveVM(r))
 	}
 	slices.SortFunc(vms, compareID)
 	return vms
--- a/core/member/wire.go
+++ b/core/member/wire.go
@@ -8,14 +8,14 @@
 	"baobabstep"
 )
 
-// kind tells what a message is for.
+// kind is the type of a message.
 type kind uint8
 
 const (
 	// kindPing asks for a kindAck with the same Seq.
 	kindPing kind = iota + 1
-	// kindAck answers a ping. With a Subject it reports that another VM
-	// answered the ping that the receiver had asked for.
+	// kindAck answers a ping. If Subject is set, it reports that Subject answered
+	// the ping that the receiver had requested.
 	kindAck
 	// kindPingRequest asks the receiver to ping Subject.
 	kindPingRequest
@@ -23,29 +23,29 @@
 	kindGossip
 	// kindSync carries digests, to be answered by kindSummary if they differ.
 	kindSync
-	// kindSummary lists what the sender knows of a part of a data centre.
+	// kindSummary lists the entries that the sender knows of a part of a data centre.
 	kindSummary
-	// kindEntries carries entries that the receiver lacks, and asks for those
-	// in Wanted.
+	// kindEntries carries entries that the receiver lacks, and requests those in
+	// Wanted.
 	kindEntries
 	// kindRelay carries news and digests to another data centre.
 	kindRelay
-	// kindRelayAck says that the news of the kindRelay with the same Seq
-	// was taken.
+	// kindRelayAck confirms the news of the kindRelay with the same Seq.
 	kindRelayAck
 
 	kindLast = kindRelayAck
 )
 
-// Bounds of messages. A message that goes beyond them is malformed.
+// Bounds of messages. A message is malformed beyond maxBodyBytes, maxNameBytes or
+// maxIncarnation; the other bounds count entries or items in a message.
 const (
-	maxBody        = 48 << 10
-	maxName        = 128
+	maxBodyBytes   = 48 << 10
+	maxNameBytes   = 128
 	maxIncarnation = uint64(1) << 62
 	maxPiggyback   = 6
 	maxGossip      = 12
 	maxRelayNews   = 16
-	maxGive        = 32
+	maxEntries     = 32
 	maxWanted      = 64
 	maxSummary     = 128
 )
@@ -60,8 +60,8 @@
 	Nonce       uint64
 	State       baobabstep.VMState
 	Joining     bool
-	// PeerIncarnation is the incarnation of the receiver as the sender knows
-	// it, 0 if not at all. It saves sending whole entries.
+	// PeerIncarnation is the receiver's incarnation as known to the sender, 0 if
+	// unknown. It avoids sending whole entries.
 	PeerIncarnation uint64
 	Subject         baobabstep.VMID
 	News            []entry
@@ -71,7 +71,7 @@
 	Wanted          []baobabstep.VMID
 }
 
-// entry is what one VM knows of another. The ID follows from the name.
+// entry is what one VM knows of another. The ID is derived from the name.
 type entry struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -83,27 +83,26 @@
 	Incarnation uint64
 	State       baobabstep.VMState
 	Joining     bool
-	// Nonce is drawn by each process at its start. It tells two processes
-	// with one name apart.
+	// Nonce is random for each process. It distinguishes processes with the
+	// same name.
 	Nonce uint64
 }
 
-// beat is the highest beat known of a data centre.
+// beat is the highest known beat of a data centre.
 type beat struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre uint64
 	Beat       uint64
 }
 
-// digest sums up the entries known of a data centre.
+// digest is the XOR of the record sums of a data centre.
 type digest struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre uint64
 	Digest     uint64
 }
 
-// summary lists all entries of a data centre with IDs from From to To, the
-// dead left out.
+// summary lists the entries of a data centre with IDs from From to To, except dead ones.
 type summary struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre uint64
@@ -119,7 +118,7 @@
 	Nonce       uint64
 }
 
-var decoding = func() cbor.DecMode {
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
@@ -134,17 +133,17 @@
 }()
 
 func decode(body []byte) (*message, error) {
-	if len(body) > maxBody {
+	if len(body) > maxBodyBytes {
 		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "member.decode",
-			"got %d bytes, want at most %d", len(body), maxBody)
+			"got %d bytes, want at most %d", len(body), maxBodyBytes)
 	}
 	m := new(message)
-	if err := decoding.Unmarshal(body, m); err != nil {
+	if err := decodeMode.Unmarshal(body, m); err != nil {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "member.decode", "message: %w", err)
 	}
 	if m.Kind < kindPing || m.Kind > kindLast || m.State > baobabstep.VMDead {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "member.decode",
-			"got kind %d and state %d", m.Kind, m.State)
+			"invalid kind %d or state %d", m.Kind, m.State)
 	}
 	return m, nil
 }
@@ -158,8 +157,8 @@
 }
 
 func (e *entry) valid() bool {
-	return e.Name != "" && len(e.Name) <= maxName && len(e.Region) <= maxName &&
-		len(e.DataCentre) <= maxName && len(e.Rack) <= maxName &&
+	return e.Name != "" && len(e.Name) <= maxNameBytes && len(e.Region) <= maxNameBytes &&
+		len(e.DataCentre) <= maxNameBytes && len(e.Rack) <= maxNameBytes &&
 		e.State <= baobabstep.VMDead && e.Incarnation > 0 && e.Incarnation < maxIncarnation
 }
 
