--- a/core/member/example_test.go
+++ b/core/member/example_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	first, second := vm("vm-1").ID, vm("vm-2").ID
-	fleets[second].Seeds(now, []baobabstep.VM{vm("vm-1")})
+	fleets[second].SetSeeds(now, []baobabstep.VM{vm("vm-1")})
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
 		carry(first, fleets[first].Tick(now))
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -71,7 +71,7 @@
 	lose := func(name string) {
 		for _, id := range x.sortedIDs() {
 			if id != x.id(name) {
-				x.send(id, x.fleets[id].Lost(x.now, x.id(name)))
+				x.send(id, x.fleets[id].ConnectionLost(x.now, x.id(name)))
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 		{"message first", 6 * time.Second, func(x *simNetwork, f *member.Fleet) {
 			x.send(x.id("a1"), f.Handle(x.now, x.id("a0"), nil))
 		}},
-		{"list first", 6 * time.Second, func(x *simNetwork, f *member.Fleet) { f.Seeds(x.now, x.vmList("a0")) }},
+		{"list first", 6 * time.Second, func(x *simNetwork, f *member.Fleet) { f.SetSeeds(x.now, x.vmList("a0")) }},
 		{"short", 1200 * time.Millisecond, func(x *simNetwork, f *member.Fleet) { f.Paused(x.now) }},
 	}
 	for _, test := range tests {
@@ -244,7 +244,7 @@
 			x.run(10 * time.Second)
 			x.assertConverged(9)
 			qt.Assert(t, ownIncarnation(x, f) > before, qt.IsTrue)
-			qt.Assert(t, f.Duplicate(x.now), qt.IsFalse)
+			qt.Assert(t, f.DuplicateName(x.now), qt.IsFalse)
 		})
 	}
 }
@@ -370,7 +370,7 @@
 			x.runUntil(4*time.Second, x.viewHasSize(8))
 			for range 30 {
 				for _, f := range x.fleets {
-					f.Seeds(x.now, x.vmList(test.list...))
+					f.SetSeeds(x.now, x.vmList(test.list...))
 				}
 				x.run(time.Second)
 				qt.Assert(t, x.memberNames("a0"), qt.HasLen, test.members)
@@ -386,18 +386,18 @@
 	x := startFleet(t, 9)
 	all := x.vmList("a0", "a1", "a2", "b0", "b1", "b2", "c0", "c1", "c2")
 	for _, f := range x.fleets {
-		f.Seeds(x.now, all)
+		f.SetSeeds(x.now, all)
 	}
 	for _, name := range []string{"c0", "c1", "c2"} {
 		x.kill(name)
 	}
 	x.run(5 * time.Second)
 	for _, f := range x.fleets {
-		f.Seeds(x.now, nil) // ignored as a platform fault
+		f.SetSeeds(x.now, nil) // ignored as a platform fault
 	}
 	qt.Assert(t, x.fleet("a0").View(x.now).Unsure, qt.IsTrue)
 	for _, f := range x.fleets {
-		f.Seeds(x.now, x.vmList("a0", "a1", "a2", "b0", "b1", "b2"))
+		f.SetSeeds(x.now, x.vmList("a0", "a1", "a2", "b0", "b1", "b2"))
 	}
 	x.run(5 * time.Second)
 	x.assertConverged(6)
@@ -513,7 +513,7 @@
 	x.start("a0", "a")
 	x.start("b0", "b")
 	f := x.start("a1", "a")
-	f.Seeds(x.now, []baobabstep.VM{{PeerAddress: x.vms["a0"].PeerAddress}, {PeerAddress: x.vms["b0"].PeerAddress}})
+	f.SetSeeds(x.now, []baobabstep.VM{{PeerAddress: x.vms["a0"].PeerAddress}, {PeerAddress: x.vms["b0"].PeerAddress}})
 	x.run(10 * time.Second)
 	x.assertConverged(3)
 }
@@ -529,7 +529,7 @@
 	}
 	x.run(10 * time.Second)
 	qt.Assert(t, x.memberNames("a1"), qt.HasLen, 3)
-	x.fleet("a2").Seeds(x.now, x.vmList("b1"))
+	x.fleet("a2").SetSeeds(x.now, x.vmList("b1"))
 	x.run(15 * time.Second)
 	x.assertConverged(6)
 }
@@ -551,8 +551,8 @@
 		x.fleets[id] = first
 		x.run(tickInterval)
 	}
-	qt.Assert(t, first.Duplicate(x.now), qt.IsTrue)
-	qt.Assert(t, second.Duplicate(x.now), qt.IsTrue)
+	qt.Assert(t, first.DuplicateName(x.now), qt.IsTrue)
+	qt.Assert(t, second.DuplicateName(x.now), qt.IsTrue)
 	t.Logf("%d bytes a second", (second.Stats().BytesOut-bytes)/20)
 	qt.Assert(t, second.Stats().BytesOut-bytes < 20*4096, qt.IsTrue)
 }
--- a/core/member/helpers_test.go
+++ b/core/member/helpers_test.go
@@ -25,7 +25,7 @@
 	}
 	f := member.New(x.now, member.Options{Self: vm, Rand: rand.New(rand.NewPCG(uint64(vm.ID), x.rand.Uint64()))})
 	x.vms[name], x.fleets[vm.ID] = vm, f
-	f.Seeds(x.now, x.vmList(seeds...))
+	f.SetSeeds(x.now, x.vmList(seeds...))
 	return f
 }
 
--- a/core/member/join_test.go
+++ b/core/member/join_test.go
@@ -24,7 +24,7 @@
 	vm := x.vms["a1"]
 	vm.Joining, vm.Incarnation = true, 100
 	again := member.New(x.now, member.Options{Self: vm, Rand: rand.New(rand.NewPCG(1, 2))})
-	again.Seeds(x.now, x.vmList("a0"))
+	again.SetSeeds(x.now, x.vmList("a0"))
 	x.fleets[vm.ID] = again
 	x.run(3 * time.Second)
 	x.assertViewSizes(1)
--- a/core/member/merge.go
+++ b/core/member/merge.go
@@ -172,19 +172,19 @@
 	}
 }
 
-// Duplicate reports whether another process seems to use this VM's name.
-func (f *Fleet) Duplicate(now time.Time) bool {
+// DuplicateName reports whether another process seems to use this VM's name.
+func (f *Fleet) DuplicateName(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.duplicate.count >= duplicateLimit && now.Sub(f.duplicate.lastSeen) <= duplicateWindow
 }
 
-// Seeds sets the VMs of the settings or of the platform's list as candidates to
+// SetSeeds sets the VMs of the settings or of the platform's list as candidates to
 // contact. A list neither makes a VM alive nor, on its own, dead: it only declares
 // dead a VM that is already suspect here and that an earlier list named but this
 // one omits. An empty list is treated as a platform fault and ignored. A seed may
 // consist of its peer address alone.
-func (f *Fleet) Seeds(now time.Time, vms []baobabstep.VM) {
+func (f *Fleet) SetSeeds(now time.Time, vms []baobabstep.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advanceClock(now)
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -128,13 +128,13 @@
 	}
 }
 
-// Lost reports that a connection to a VM ended unexpectedly. The connections of a
-// process that dies end at once, long before probes fail, but a brief network fault
-// can end them too. So the VM is pinged, and only this VM treats it as suspect if
-// it does not answer within ProbeTimeout. It is never declared dead sooner than
-// ProbeInterval and SuspicionTimeout after its last message, since a VM that was
-// paused for less than that would not have noticed.
-func (f *Fleet) Lost(now time.Time, id baobabstep.VMID) []Out {
+// ConnectionLost reports that a connection to a VM ended unexpectedly. The
+// connections of a process that dies end at once, long before probes fail, but a
+// brief network fault can end them too. So the VM is pinged, and only this VM treats
+// it as suspect if it does not answer within ProbeTimeout. It is never declared dead
+// sooner than ProbeInterval and SuspicionTimeout after its last message, since a VM
+// that was paused for less than that would not have noticed.
+func (f *Fleet) ConnectionLost(now time.Time, id baobabstep.VMID) []Out {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advanceClock(now)
--- a/core/member/random_test.go
+++ b/core/member/random_test.go
@@ -92,7 +92,7 @@
 			"loss": func(rt *rapid.T) { x.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(rt, "loss") },
 			"list": func(rt *rapid.T) {
 				if name := pick.Draw(rt, "name"); running(name) {
-					x.fleet(name).Seeds(x.now, x.vmList(pick.Draw(rt, "first"), pick.Draw(rt, "second")))
+					x.fleet(name).SetSeeds(x.now, x.vmList(pick.Draw(rt, "first"), pick.Draw(rt, "second")))
 				}
 			},
 			"": func(rt *rapid.T) {
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, f := range x.fleets {
-		f.Seeds(x.now, x.vmList(names...))
+		f.SetSeeds(x.now, x.vmList(names...))
 	}
 	x.run(25 * time.Second)
 	x.assertConverged(len(names))
@@ -129,7 +129,7 @@
 		return baobabstep.VM{ID: baobabstep.MakeVMID(name), Name: name, Region: "r", DataCentre: "d"}
 	}
 	other := member.New(now, member.Options{Self: vm("b")})
-	other.Seeds(now, []baobabstep.VM{vm("a")})
+	other.SetSeeds(now, []baobabstep.VM{vm("a")})
 	for i := range 40 {
 		for _, out := range other.Tick(now.Add(time.Duration(i) * tickInterval)) {
 			f.Add(out.Body)
@@ -139,7 +139,7 @@
 	f.Add([]byte("not cbor"))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		fleet := member.New(now, member.Options{Self: vm("a")})
-		fleet.Seeds(now, []baobabstep.VM{vm("b")})
+		fleet.SetSeeds(now, []baobabstep.VM{vm("b")})
 		for i := range 30 {
 			at := now.Add(time.Duration(i) * tickInterval)
 			for _, out := range fleet.Handle(at, baobabstep.MakeVMID("b"), body) {
--- a/node/control.go
+++ b/node/control.go
@@ -42,7 +42,7 @@
 		case <-ctx.Done():
 			return nil
 		case id := <-lost:
-			n.sendMember(n.fleet.Lost(n.clock.Now(), id))
+			n.sendMember(n.fleet.ConnectionLost(n.clock.Now(), id))
 		case <-data.C:
 		}
 	}
@@ -113,7 +113,7 @@
 // warnOfDuplicate says that two processes use one name: each refutes what the
 // other says, and their peers send packets now to one, now to the other.
 func (n *Node) warnOfDuplicate(now time.Time) {
-	if !n.fleet.Duplicate(now) || now.Sub(n.duplicateAt) < duplicateInterval {
+	if !n.fleet.DuplicateName(now) || now.Sub(n.duplicateAt) < duplicateInterval {
 		return
 	}
 	n.duplicateAt = now
--- a/node/platform.go
+++ b/node/platform.go
@@ -14,13 +14,13 @@
 func (n *Node) readList(ctx context.Context) error {
 	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
-	n.fleet.Seeds(n.clock.Now(), n.seeds())
+	n.fleet.SetSeeds(n.clock.Now(), n.seeds())
 	for {
 		now := n.clock.Now()
 		if n.needsList(now) {
 			vms, err := n.options.Platform.VMs(ctx)
 			if err == nil {
-				n.fleet.Seeds(n.clock.Now(), vms)
+				n.fleet.SetSeeds(n.clock.Now(), vms)
 			} else {
 				n.log.WithError(err).Debug("platform's list of VMs")
 			}
