--- a/code_test.go
+++ b/code_test.go
@@ -39,14 +39,13 @@
 
 var documentedCode = regexp.MustCompile(`(?m)^\| (\d+) \| (\w+) \| .+ \|$`)
 
-// Every code that has a generated name has one row in the table, and the table
-// has no other row.
+// The table has exactly one row for each code with a generated name.
 func TestResultCodesAreDocumented(t *testing.T) {
 	table, err := os.ReadFile("docs/RESULT_CODES.md")
 	qt.Assert(t, err, qt.IsNil)
 	documented := map[string]string{}
 	for _, row := range documentedCode.FindAllStringSubmatch(string(table), -1) {
-		qt.Check(t, documented[row[1]], qt.Equals, "", qt.Commentf("code %s stands twice", row[1]))
+		qt.Check(t, documented[row[1]], qt.Equals, "", qt.Commentf("code %s is listed twice", row[1]))
 		documented[row[1]] = row[2]
 	}
 	named := map[string]string{}
--- a/config.go
+++ b/config.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Config is the whole configuration in force at one version, rendered from
-// templates and accounts. It is immutable once published.
+// Config is one version of the whole configuration, rendered from templates and
+// accounts. It is immutable once published.
 type Config struct {
 	// Version grows by one with each accepted change.
 	Version uint64
-	// Digest identifies the content of the version.
+	// Digest is the hash of the version's content.
 	Digest [32]byte
-	// FlowSecret keys the hash of flow keys.
+	// FlowSecret is the key of the flow key hash.
 	FlowSecret [16]byte
 	Services   []Service
 	// Quarantine lists addresses that recently moved between services.
@@ -29,40 +29,40 @@
 	// Name is "account/service".
 	Name    string
 	Account string
-	// Address is where callers reach the service.
+	// Address is the address that callers use.
 	Address netip.AddrPort
-	// Stream says that callers connect over TCP and that one VM sees the
-	// whole connection; otherwise packets come through the fabric.
+	// Stream says that callers connect over TCP, so that one VM sees the whole
+	// connection; otherwise packets arrive through the fabric.
 	Stream bool
 	// DataCentres lists the data centres that may serve it.
 	DataCentres []string
 	Targets     []Target
-	// MaxTimeout bounds the time any request may take.
+	// MaxTimeout is the upper limit of a request's timeout.
 	MaxTimeout time.Duration
-	// DefaultTimeout is used when a caller gives none.
+	// DefaultTimeout applies to requests without a timeout.
 	DefaultTimeout time.Duration
-	// OrdinaryFloor is the least share, 0 to 1, of slots that ordinary
+	// OrdinaryFloor is the minimum share of slots, 0 to 1, that ordinary
 	// requests get while urgent ones wait.
 	OrdinaryFloor float64
 	// RetryShare is the retry budget as a share of successes, 0 to 1.
 	RetryShare float64
-	// QueueLimit bounds the requests waiting per target slot.
+	// QueueLimit is the maximum number of waiting requests per target slot.
 	QueueLimit int
-	// MaxEjectedShare bounds the share of targets that may be ejected.
+	// MaxEjectedShare is the maximum share of targets that may be ejected.
 	MaxEjectedShare float64
-	// ClassRules set the class of requests by their callers' addresses.
+	// ClassRules override the class of requests by the caller's address.
 	ClassRules []ClassRule
 }
 
-// ClassRule gives requests from callers within a prefix a class, whatever
-// class the callers ask for.
+// ClassRule sets the class of requests from callers within a prefix, whatever
+// class they ask for.
 type ClassRule struct {
 	Callers netip.Prefix
 	Class   Class
 }
 
-// ClassOf returns the class of a request: that of the first rule that covers
-// the caller, else the one asked for.
+// ClassOf returns the class of the first rule that matches the caller,
+// otherwise the class asked for.
 func (s *Service) ClassOf(caller netip.Addr, asked Class) Class {
 	for _, r := range s.ClassRules {
 		if r.Callers.Contains(caller) {
@@ -79,23 +79,23 @@
 	Service    ServiceID
 	Address    netip.AddrPort
 	DataCentre string
-	// Slots is the number of requests it runs at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Connections is the number of flows it holds at once.
+	// Connections is the maximum number of concurrent flows.
 	Connections int
-	// Drained is set by an operator: no new work, established flows stay.
+	// Drained is set by an operator: no new work, but established flows stay.
 	Drained bool
 }
 
-// Quarantine marks a target address that recently left a service. Until the
-// version Until is in force everywhere it gets no work from another service.
+// Quarantine marks a target address that recently left a service. Until version
+// Until is in force everywhere, it gets no work of another service.
 type Quarantine struct {
 	Address netip.AddrPort
 	Service ServiceID
 	Until   uint64
 }
 
-// Index prepares the look-up tables. It is called once, before publication.
+// Index builds the look-up tables. It is called once, before publication.
 func (c *Config) Index() {
 	c.serviceByAddress = make(map[netip.AddrPort]*Service, len(c.Services))
 	c.serviceByID = make(map[ServiceID]*Service, len(c.Services))
@@ -110,7 +110,7 @@
 	}
 }
 
-// ServiceAt returns the service reached at address, or nil.
+// ServiceAt returns the service at address, or nil.
 func (c *Config) ServiceAt(address netip.AddrPort) *Service { return c.serviceByAddress[address] }
 
 // Service returns the service with the given identifier, or nil.
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,23 +1,23 @@
-// Package place answers one question: which two VMs keep the record of a key.
+// Package place maps each key to the two VMs that store its record.
 //
 // # The model
 //
-// A keyed hash spreads keys over a fixed number of slots. Each data centre
+// A keyed hash distributes keys over a fixed number of slots. Each data centre
 // with members in the view has a table that maps a slot to two of its VMs, the
-// holder and the second copy. The table is computed by rendezvous hashing:
-// each VM has a score for each slot, the best score holds, and the best score
-// outside the holder's rack keeps the second copy.
+// holder and the second copy. The table is computed by rendezvous hashing: each
+// VM has a score for each slot, the VM with the highest score is the holder,
+// and the highest score outside the holder's rack is the second copy.
 //
 //	key -> hash -> home data centre -> slot -> (holder, second)
 //
-// Rendezvous hashing was chosen since two VMs with different views still agree
-// on most slots: a slot changes hands only if one of its own VMs came or went.
-// Two views that differ by one VM always share a VM of each slot, also with the
-// rule about racks: when the holder goes, the best VM outside its rack is still
-// the best outside the rack of whichever VM holds next, or holds itself.
+// With rendezvous hashing, two VMs with different views still agree on most
+// slots: a slot moves only if one of its own VMs joined or left. Two views that
+// differ by one VM always share an owner of each slot, also with the rack rule:
+// when the holder leaves, the best VM outside its rack either becomes the
+// holder or is still the best outside the new holder's rack.
 //
-// A [Table] is immutable. [Table.Update] shares the data centres that did not
-// change and mends the others slot by slot, so that the cost of one join or
+// A [Table] is immutable. [Table.Update] shares the tables of unchanged data
+// centres and updates the others slot by slot, so that the cost of one join or
 // death does not depend on the size of the fleet.
 package place
 
@@ -30,13 +30,13 @@
 	"baobabstep"
 )
 
-// Slots is the number of slots of each data centre. A power of two.
+// Slots is the number of slots of each data centre, a power of two.
 const Slots = 1 << 14
 
-// keySize is the number of bytes of an encoded key.
+// keySize is the size of an encoded key in bytes.
 const keySize = 16 + 2 + 16 + 2 + 8
 
-// Hash returns the keyed hash of a flow key. IPv6 zones are left out.
+// Hash returns the keyed hash of a flow key. IPv6 zones are not included.
 func Hash(secret [16]byte, key baobabstep.FlowKey) baobabstep.KeyHash {
 	var b [keySize]byte
 	caller := key.Caller.Addr().As16()
@@ -60,11 +60,11 @@
 	return int(binary.LittleEndian.Uint64(h[:8]) % Slots)
 }
 
-// Owners are the VMs that keep the record of a key.
+// Owners are the VMs that store the record of a key.
 type Owners struct {
-	// Holder decides for the key. It is 0 if the view has no fitting member.
+	// Holder decides for the key. It is 0 if no member of the view may own it.
 	Holder baobabstep.VMID
-	// Second keeps a copy. It is 0 if the home data centre has one VM only.
+	// Second stores a copy. It is 0 if the home data centre has a single VM.
 	Second baobabstep.VMID
 }
 
@@ -73,8 +73,7 @@
 	return vm != 0 && (vm == o.Holder || vm == o.Second)
 }
 
-// Other returns the owner that is not vm; for a VM that owns nothing it
-// returns the holder.
+// Other returns the other owner of vm, or the holder if vm is not an owner.
 func (o Owners) Other(vm baobabstep.VMID) baobabstep.VMID {
 	if vm == o.Holder {
 		return o.Second
@@ -82,14 +81,15 @@
 	return o.Holder
 }
 
-// Fingerprint identifies the pair, whichever of the two holds. It is never 0.
+// Fingerprint identifies the pair regardless of roles. It is never 0.
 func (o Owners) Fingerprint() uint32 {
 	return uint32(mix(uint64(o.Holder)^uint64(o.Second), uint64(o.Holder)+uint64(o.Second))) | 1
 }
 
 // Owners returns the owners of a hashed key of a service that the given data
-// centres may serve; none given stands for all. The home data centre is chosen
-// without weights, since weights that move would move homes.
+// centres may serve; an empty list means all. The home data centre is chosen
+// without weights, since changing a weight would move keys to other data
+// centres.
 func (t *Table) Owners(h baobabstep.KeyHash, dataCentres []string) Owners {
 	home := t.home(binary.LittleEndian.Uint64(h[8:]), dataCentres)
 	if home == nil {
@@ -98,7 +98,7 @@
 	return home.owners(Slot(h))
 }
 
-// home returns the data centre with the best score among those named.
+// home returns the data centre with the highest score among those named.
 func (t *Table) home(h uint64, dataCentres []string) *dataCentre {
 	var best *dataCentre
 	var bestScore uint64
@@ -113,8 +113,8 @@
 	return best
 }
 
-// allowed tells whether name is listed. Lists are short, so a scan is faster
-// than a map.
+// allowed tells whether name is in list or list is empty. Lists are short, so a
+// scan is faster than a map.
 func allowed(name string, list []string) bool {
 	for _, s := range list {
 		if s == name {
@@ -124,7 +124,7 @@
 	return len(list) == 0
 }
 
-// mix returns a well-spread hash of two words, in a few nanoseconds.
+// mix returns a well-distributed hash of two words, within a few nanoseconds.
 func mix(a, b uint64) uint64 {
 	const k0, k1, k2 = 0x9e3779b97f4a7c15, 0xd6e8feb86659fd93, 0xa0761d6478bd642f
 	hi, lo := bits.Mul64(a^k0, b^k1)
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -37,7 +37,7 @@
 	return baobabstep.VM{ID: baobabstep.MakeVMID(name), Name: name, DataCentre: dataCentre, Rack: rack}
 }
 
-// fleet returns a view of n VMs in one data centre with several racks.
+// fleet returns a view of n VMs in one data centre with eight racks.
 func fleet(n int) *baobabstep.View {
 	v := &baobabstep.View{}
 	for i := range n {
@@ -106,9 +106,9 @@
 	})
 }
 
-// A caller's packet finds its record only if the VM it is passed to is one of
-// the two that stored it. One VM joins or dies, the news reaches VMs at
-// different times, and both views route: each slot must keep a common owner.
+// VMs learn of a join or death at different times and route by views that
+// differ by one VM. A packet finds its record only if each slot keeps a common
+// owner.
 func TestViewsThatDifferByOneShareAnOwner(t *testing.T) {
 	for _, n := range []int{2, 3, 9} {
 		v := fleet(n)
@@ -125,9 +125,10 @@
 	}
 }
 
-// A VM that mended its table over days must agree with one that just started,
-// otherwise the two pass packets to different holders for good.
-func TestMendedTableEqualsNewTable(t *testing.T) {
+// An incrementally updated table must equal one computed from scratch,
+// otherwise a long-running VM and a new one route packets to different holders
+// permanently.
+func TestUpdatedTableEqualsNewTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := &baobabstep.View{}
 		table := place.New(view)
@@ -162,7 +163,8 @@
 func TestLoadPerHolderIsBounded(t *testing.T) {
 	tests := []struct {
 		members int
-		// most is the largest load of a holder over the mean.
+		// most is the limit of the largest load of a holder relative to the
+		// mean.
 		most float64
 	}{{9, 1.10}, {50, 1.25}, {164, 1.45}, {2300, 3.2}}
 	for _, test := range tests {
--- a/core/place/table.go
+++ b/core/place/table.go
@@ -22,20 +22,20 @@
 	hash    uint64
 	members []member
 	racks   int
-	slots   []pair
+	slots   []ownerPair
 }
 
-// member is one VM that may own slots, sorted by id within its data centre.
+// member is a VM that may own slots. Members are sorted by ID.
 type member struct {
 	id   baobabstep.VMID
 	rack string
 }
 
-// pair is the owners of one slot, as indexes of members.
-type pair struct{ holder, second uint16 }
+// ownerPair is the owners of one slot, as indexes of members.
+type ownerPair struct{ holder, second uint16 }
 
-// none marks the missing second copy of a data centre with one VM.
-const none = ^uint16(0)
+// noMember marks the missing second copy of a data centre with one VM.
+const noMember = ^uint16(0)
 
 // New computes the table of a view.
 func New(view *baobabstep.View) *Table {
@@ -43,7 +43,7 @@
 }
 
 // Update returns the table of view. It recomputes only what changed, and
-// returns t itself if nothing did.
+// returns t if nothing did.
 func (t *Table) Update(view *baobabstep.View) *Table {
 	groups := make(map[string][]member)
 	for i := range view.Members {
@@ -89,7 +89,7 @@
 func (d *dataCentre) owners(slot int) Owners {
 	p := d.slots[slot]
 	o := Owners{Holder: d.members[p.holder].id}
-	if p.second != none {
+	if p.second != noMember {
 		o.Second = d.members[p.second].id
 	}
 	return o
@@ -105,13 +105,13 @@
 		hash:    xxhash.Sum64String(name),
 		members: members,
 		racks:   countRacks(members),
-		slots:   make([]pair, Slots),
+		slots:   make([]ownerPair, Slots),
 	}
 	if d == nil || (d.racks > 1) != (next.racks > 1) || len(d.members) < 2 {
-		next.rebuild()
+		next.computeSlots()
 		return next
 	}
-	next.mend(d)
+	next.updateFrom(d)
 	return next
 }
 
@@ -123,26 +123,26 @@
 	return len(racks)
 }
 
-func (d *dataCentre) rebuild() {
+func (d *dataCentre) computeSlots() {
 	for slot := range d.slots {
-		d.slots[slot] = d.best(slot)
+		d.slots[slot] = d.bestOwners(slot)
 	}
 }
 
-// best computes the owners of one slot from all members.
-func (d *dataCentre) best(slot int) pair {
-	first := d.top(slot, func(uint16) bool { return true })
-	second := d.top(slot, func(i uint16) bool { return i != first && d.apart(i, first) })
-	return pair{first, second}
+// bestOwners computes the owners of one slot from all members.
+func (d *dataCentre) bestOwners(slot int) ownerPair {
+	first := d.bestMember(slot, func(uint16) bool { return true })
+	second := d.bestMember(slot, func(i uint16) bool { return i != first && d.compatible(i, first) })
+	return ownerPair{first, second}
 }
 
-// top returns the member with the best score among those that fit.
-func (d *dataCentre) top(slot int, fits func(uint16) bool) uint16 {
-	best := none
+// bestMember returns the member with the highest score among those that fit.
+func (d *dataCentre) bestMember(slot int, fits func(uint16) bool) uint16 {
+	best := noMember
 	var bestScore uint64
 	for i := range d.members {
 		score := d.score(slot, uint16(i))
-		if (best == none || score > bestScore) && fits(uint16(i)) {
+		if (best == noMember || score > bestScore) && fits(uint16(i)) {
 			best, bestScore = uint16(i), score
 		}
 	}
@@ -153,69 +153,70 @@
 	return mix(uint64(slot)*0x9e3779b97f4a7c15, uint64(d.members[i].id))
 }
 
-// mend fills d from the table old: slots that lost an owner are computed anew,
-// and the joining members are tried against the owners of all others.
-func (d *dataCentre) mend(old *dataCentre) {
-	moved, joined := d.compare(old)
+// updateFrom fills d from the table old. Slots that lost an owner are
+// recomputed; for all others the joined members compete with the present
+// owners.
+func (d *dataCentre) updateFrom(old *dataCentre) {
+	newIndex, joined := d.diffMembers(old)
 	for slot, p := range old.slots {
-		holder, second := moved[p.holder], moved[p.second]
-		if holder == none || second == none {
-			d.slots[slot] = d.best(slot)
+		holder, second := newIndex[p.holder], newIndex[p.second]
+		if holder == noMember || second == noMember {
+			d.slots[slot] = d.bestOwners(slot)
 			continue
 		}
-		owners := pair{holder, second}
+		owners := ownerPair{holder, second}
 		for _, i := range joined {
-			owners = d.join(slot, owners, i)
+			owners = d.addMember(slot, owners, i)
 		}
 		d.slots[slot] = owners
 	}
 }
 
-// compare returns the new index of each member of old, or none, and the
-// indexes of the members that old lacks. A VM that changed racks counts as
-// gone and joined.
-func (d *dataCentre) compare(old *dataCentre) (moved []uint16, joined []uint16) {
-	moved = make([]uint16, len(old.members))
-	for i := range moved {
-		moved[i] = none
+// diffMembers returns the new index of each member of old, or noMember, and the
+// indexes of the members that old lacks. A VM that changed racks counts as one
+// that left and one that joined.
+func (d *dataCentre) diffMembers(old *dataCentre) (newIndex []uint16, joined []uint16) {
+	newIndex = make([]uint16, len(old.members))
+	for i := range newIndex {
+		newIndex[i] = noMember
 	}
 	for i := range d.members {
-		at, found := slices.BinarySearchFunc(old.members, d.members[i].id,
+		oldIndex, found := slices.BinarySearchFunc(old.members, d.members[i].id,
 			func(m member, id baobabstep.VMID) int { return compareID(m.id, id) })
-		if found && old.members[at].rack == d.members[i].rack {
-			moved[at] = uint16(i)
+		if found && old.members[oldIndex].rack == d.members[i].rack {
+			newIndex[oldIndex] = uint16(i)
 			continue
 		}
 		joined = append(joined, uint16(i))
 	}
-	return moved, joined
+	return newIndex, joined
 }
 
-// join returns the owners of slot once member i competes for it.
+// addMember returns the owners of slot once member i competes for it.
 //
-// If i wins the slot, the old holder becomes the second copy, unless it shares
-// i's rack: then the old second copy, the best outside that rack, stays.
-func (d *dataCentre) join(slot int, p pair, i uint16) pair {
+// If i becomes the holder, the old holder becomes the second copy, unless it is
+// in i's rack: then the old second copy, the best outside that rack, stays.
+func (d *dataCentre) addMember(slot int, p ownerPair, i uint16) ownerPair {
 	score := d.score(slot, i)
 	switch {
 	case score > d.score(slot, p.holder):
-		if d.apart(i, p.holder) {
-			return pair{i, p.holder}
+		if d.compatible(i, p.holder) {
+			return ownerPair{i, p.holder}
 		}
-		return pair{i, p.second}
-	case score > d.score(slot, p.second) && d.apart(i, p.holder):
-		return pair{p.holder, i}
+		return ownerPair{i, p.second}
+	case score > d.score(slot, p.second) && d.compatible(i, p.holder):
+		return ownerPair{p.holder, i}
 	}
 	return p
 }
 
-// apart tells whether two members may own one slot together.
-func (d *dataCentre) apart(i, j uint16) bool {
+// compatible tells whether two members may own one slot together.
+func (d *dataCentre) compatible(i, j uint16) bool {
 	return d.racks == 1 || d.members[i].rack != d.members[j].rack
 }
 
-// historySize bounds the previous tables that are kept. A record that waits
-// for its repair is found through them.
+// historySize is the number of previous tables kept. They are needed to find
+// records that have not been moved to their new owners yet.
 const historySize = 16
 
 // Past is a table that was in use until another replaced it.
@@ -224,11 +225,11 @@
 	Until time.Time
 }
 
-// History holds past tables, the newest first. It is immutable.
+// History holds past tables, newest first. It is immutable.
 type History []Past
 
-// Push returns the history with p as its newest table; the oldest is dropped
-// once there are too many.
+// Push returns the history with p as the newest table, dropping the oldest one
+// above historySize.
 func (h History) Push(p Past) History {
 	next := make(History, 0, historySize)
 	next = append(next, p)
--- a/core/target/bench_test.go
+++ b/core/target/bench_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// BenchmarkNews is the cost of one round at the number of targets of a region.
+// BenchmarkNews measures one gossip message at the number of targets of a
+// region.
 func BenchmarkNews(b *testing.B) {
 	c := manyServices(5200)
 	r := newRegistry(b, 0)
@@ -72,7 +73,7 @@
 	}
 }
 
-// BenchmarkSetView is the cost of a change of view at the size of one region.
+// BenchmarkSetView measures a change of view at the size of one region.
 func BenchmarkSetView(b *testing.B) {
 	c := manyServices(5200)
 	r := newRegistry(b, 0)
--- a/core/target/evidence.go
+++ b/core/target/evidence.go
@@ -6,49 +6,50 @@
 	"baobabstep"
 )
 
-// Evidence is smoothed over about ten samples.
+// smoothing averages evidence over about ten samples.
 const smoothing = 0.1
 
-// failingShare is the smoothed share of failures that ejects, after
-// minSamples outcomes: it finds targets that fail often but not in a row.
+// failingShare is the smoothed share of failures that ejects a target after
+// minSamples outcomes. It catches targets that fail often but not
+// consecutively.
 const (
 	failingShare = 0.5
 	minSamples   = 10
 )
 
-// returnAnswers is the number of answers without a failure between them that
-// end an ejection early; rampAnswers is how many end a ramp early.
+// earlyReturnAnswers is the number of answers without a failure in between that
+// end an ejection early; rampAnswers is the number that end a ramp early.
 const (
-	returnAnswers = 3
-	rampAnswers   = 20
+	earlyReturnAnswers = 3
+	rampAnswers        = 20
 )
 
-// holdTime is the first pause of a target that refused work for lack of room.
-// It doubles with each refusal in a row, up to maxHoldTime.
+// minRefusalPause is the first pause of a target that refused work for lack of
+// capacity. It doubles with each consecutive refusal, up to maxRefusalPause.
 const (
-	holdTime    = 20 * time.Millisecond
-	maxHoldTime = time.Second
+	minRefusalPause = 20 * time.Millisecond
+	maxRefusalPause = time.Second
 )
 
 // health is the evidence about one target.
 type health struct {
-	// seen is set once the entry was placed.
-	seen bool
+	// evaluated is set once updateUsable has seen the target.
+	evaluated bool
 
-	// failures counts bad outcomes in a row, refusals those for lack of room.
+	// failures counts consecutive failures, refusals those for lack of
+	// capacity.
 	failures, refusals int
-	// answers counts good outcomes since the last failure or return.
-	answers int
-	failing float64
-	samples int
-	// ejectedUntil ends the present ejection; ejections counts the recent
-	// ones, one of which is forgotten for each MaxEjectTime without any.
+	// answers counts successes since the last failure or return.
+	answers      int
+	failureShare float64
+	samples      int
+	// ejectedUntil is the end of the current ejection. ejections counts recent
+	// ones and drops by one for each MaxEjectTime without any.
 	ejectedUntil time.Time
 	ejections    int
-	holdUntil    time.Time
+	pausedUntil  time.Time
 
-	// down is this VM's own finding as a prober; otherDown counts the
-	// probers that told so.
+	// down is set while this VM, as a prober, finds the target down.
 	down               bool
 	prober             bool
 	missed, goodProbes int
@@ -57,29 +58,29 @@
 	serviceTime float64
 }
 
-// good tells whether the target may get work. Outcomes come first. A probe
-// finding counts when this VM or two other probers made it; one other prober
-// may be cut off from the target alone.
-func (h *health) good(now time.Time, e *entry) bool {
+// healthy tells whether the target may get work. Outcomes come first. A probe
+// result counts if this VM or two other probers found it; a single other prober
+// may be cut off from just this target.
+func (h *health) healthy(now time.Time, e *entry) bool {
 	if now.Before(h.ejectedUntil) {
 		return false
 	}
 	if h.down {
 		return false
 	}
-	others := 0
-	for i := range e.others {
-		if e.others[i].down {
-			others++
+	peersDown := 0
+	for i := range e.peerStates {
+		if e.peerStates[i].down {
+			peersDown++
 		}
 	}
-	return others < 2
+	return peersDown < 2
 }
 
-func (h *health) holding(now time.Time) bool { return now.Before(h.holdUntil) }
+func (h *health) paused(now time.Time) bool { return now.Before(h.pausedUntil) }
 
-// Outcome is what became of real work. A CodeOK with a service time of 0
-// counts as an answer whose time is not known.
+// Outcome records the outcome of real work. CodeOK with a service time of 0 is
+// a success of unknown duration.
 func (r *Registry) Outcome(now time.Time, id baobabstep.TargetID, code baobabstep.Code, serviceTime time.Duration) {
 	e := r.entryOf(id)
 	if e == nil {
@@ -89,91 +90,92 @@
 	defer e.pool.mu.Unlock()
 	switch code {
 	case baobabstep.CodeOK:
-		e.succeeded(now, serviceTime)
+		e.recordSuccess(now, serviceTime)
 	case baobabstep.CodeTargetLeaving:
-		// For a VM that is cut off from all other sources the first
-		// refusal is the news.
+		// A VM that is cut off from all other sources learns of it from
+		// the refusal first.
 		e.health.goodProbes = 0
 		e.setLeaving(SourceTarget, true)
 	case baobabstep.CodeShed, baobabstep.CodeNoCapacity, baobabstep.CodeOverloaded:
-		e.refused(now)
+		e.recordRefusal(now)
 	case baobabstep.CodeCancelled:
 	default:
-		e.failed(now)
+		e.recordFailure(now)
 	}
 }
 
-func (e *entry) succeeded(now time.Time, serviceTime time.Duration) {
+func (e *entry) recordSuccess(now time.Time, serviceTime time.Duration) {
 	h := &e.health
 	h.failures = 0
 	h.refusals = 0
 	h.samples++
-	h.failing -= smoothing * h.failing
+	h.failureShare -= smoothing * h.failureShare
 	h.answers++
-	if now.Before(h.ejectedUntil) && h.answers >= returnAnswers {
-		// Work reached it all the same, in panic mode, and was answered.
-		// Waiting for the end of the ejection would keep a service short
-		// of targets long after a mass failure is over.
+	if now.Before(h.ejectedUntil) && h.answers >= earlyReturnAnswers {
+		// The target got work in panic mode and answered it. Waiting out the
+		// ejection would leave a service short of targets long after a mass
+		// failure is over.
 		h.ejectedUntil = now
 		e.pool.dirty = true
 	}
 	if serviceTime <= 0 {
 		return
 	}
-	e.observe(serviceTime.Seconds())
+	e.observeServiceTime(serviceTime.Seconds())
 }
 
-// observe takes a service time into the target's and the pool's mean, and
-// adapts the limit of slots: a target that is much slower than its pool is
-// given fewer at once.
-func (e *entry) observe(seconds float64) {
+// observeServiceTime updates the mean service times of the target and its pool,
+// and adapts the slot limit: a target that is much slower than its pool gets
+// fewer requests at once.
+func (e *entry) observeServiceTime(seconds float64) {
 	smooth(&e.health.serviceTime, seconds, smoothing)
 	n := float64(max(1, len(e.pool.entries)))
 	smooth(&e.pool.serviceTime, seconds, smoothing/n)
 	if e.health.serviceTime > 2*e.pool.serviceTime {
-		e.limit = max(1, e.limit*0.9)
+		e.adaptiveSlots = max(1, e.adaptiveSlots*0.9)
 		return
 	}
-	e.limit = min(float64(e.target.Slots), e.limit+0.1)
+	e.adaptiveSlots = min(float64(e.target.Slots), e.adaptiveSlots+0.1)
 }
 
-func smooth(mean *float64, x, share float64) {
+func smooth(mean *float64, x, weight float64) {
 	if *mean == 0 {
 		*mean = x
 		return
 	}
-	*mean += share * (x - *mean)
+	*mean += weight * (x - *mean)
 }
 
-// refused pauses a target that has no room. That is no failure, but a target
-// that refuses at once looks idle and would otherwise attract all work.
-func (e *entry) refused(now time.Time) {
+// recordRefusal pauses a target that lacks capacity. A refusal is not a
+// failure, but a target that refuses at once looks idle and would otherwise
+// attract all work.
+func (e *entry) recordRefusal(now time.Time) {
 	h := &e.health
-	pause := holdTime << min(h.refusals, 6)
+	pause := minRefusalPause << min(h.refusals, 6)
 	h.refusals++
-	h.holdUntil = now.Add(min(pause, maxHoldTime))
+	h.pausedUntil = now.Add(min(pause, maxRefusalPause))
 }
 
-func (e *entry) failed(now time.Time) {
+func (e *entry) recordFailure(now time.Time) {
 	h := &e.health
 	h.answers = 0
 	if now.Before(h.ejectedUntil) {
-		// It is out already. Failures of work that reached it in panic
-		// mode must not eject it again as soon as it is back.
+		// Already ejected. Failures of work that reached it in panic mode must
+		// not eject it again as soon as it is back.
 		return
 	}
 	h.failures++
 	h.samples++
-	h.failing += smoothing * (1 - h.failing)
-	inRow := h.failures >= e.pool.reg.opts.EjectFailures
-	often := h.samples >= minSamples && h.failing > failingShare
-	if inRow || often {
+	h.failureShare += smoothing * (1 - h.failureShare)
+	consecutive := h.failures >= e.pool.reg.opts.EjectFailures
+	frequent := h.samples >= minSamples && h.failureShare > failingShare
+	if consecutive || frequent {
 		e.eject(now)
 	}
 }
 
-// eject takes the target out for a time that doubles while it keeps failing,
-// so that a flapping target is mostly out.
+// eject excludes the target for a time that doubles while it keeps failing, so
+// that a flapping target is excluded most of the time.
 func (e *entry) eject(now time.Time) {
 	h := &e.health
 	o := &e.pool.reg.opts
@@ -185,12 +187,12 @@
 	h.ejectedUntil = now.Add(length)
 	h.failures = 0
 	h.samples = 0
-	h.failing = 0
+	h.failureShare = 0
 	e.pool.dirty = true
-	e.changed()
+	e.markChanged()
 }
 
-// Report takes a target's answer to this VM's own probe.
+// Report applies a target's answer to a probe of this VM.
 func (r *Registry) Report(now time.Time, id baobabstep.TargetID, report baobabstep.TargetReport) {
 	e := r.entryOf(id)
 	if e == nil {
@@ -201,7 +203,7 @@
 	h := &e.health
 	h.probePending = false
 	h.missed = 0
-	e.learnReport(int(report.Connections))
+	e.applyReport(int(report.Connections))
 	if report.Draining {
 		e.setLeaving(SourceTarget, true)
 	}
@@ -220,12 +222,12 @@
 	}
 }
 
-func (e *entry) learnReport(connections int) {
-	// The reported service time is left alone: answers of real work tell it
-	// better, and a wrong one would set the pace of admission and retries.
-	e.reported = reported{known: true, connections: connections, base: e.flows}
-	e.recount()
-	e.changed()
+func (e *entry) applyReport(connections int) {
+	// The reported service time is ignored: answers of real work measure it
+	// better, and a wrong one would distort the pace of admission and retries.
+	e.lastReport = receivedReport{known: true, connections: connections, flowsAtReport: e.flows}
+	e.updateLoad()
+	e.markChanged()
 }
 
 func (e *entry) setDown(down bool) {
@@ -234,20 +236,21 @@
 	}
 	e.health.down = down
 	e.pool.dirty = true
-	e.changed()
+	e.markChanged()
 }
 
-// register is one source's update on leaving. The version grows with each
+// leavingState is one source's leaving update. Its version grows with each
 // change, so that updates merge without clocks.
-type register struct {
+type leavingState struct {
 	version uint64
 	leaving bool
-	// spread counts how often the update still has to be sent.
-	spread int
+	// sendsLeft is how many more times the update has to be sent.
+	sendsLeft int
 }
 
-// updateSpread is how often a leaving update is sent after it was made or learned.
-const updateSpread = 4
+// leavingSends is how often a leaving update is sent after it was made or
+// received.
+const leavingSends = 4
 
 func (e *entry) isLeaving() bool {
 	for i := range e.leaving {
@@ -259,18 +262,18 @@
 }
 
 func (e *entry) setLeaving(s Source, leaving bool) {
-	g := &e.leaving[s]
-	if g.leaving == leaving {
+	state := &e.leaving[s]
+	if state.leaving == leaving {
 		return
 	}
-	g.version++
-	g.leaving = leaving
-	g.spread = updateSpread
+	state.version++
+	state.leaving = leaving
+	state.sendsLeft = leavingSends
 	e.pool.dirty = true
-	e.changed()
+	e.markChanged()
 }
 
-// Leaving takes a source's update that a target is leaving, or no longer is.
+// Leaving records that a source reports a target as leaving, or no longer.
 func (r *Registry) Leaving(_ time.Time, id baobabstep.TargetID, source Source, leaving bool) {
 	e := r.entryOf(id)
 	if e == nil || source >= numSources {
--- a/core/target/example_test.go
+++ b/core/target/example_test.go
@@ -9,7 +9,7 @@
 	"baobabstep/core/target"
 )
 
-// A target that says that it is leaving gets no new flow.
+// A target that reports that it is draining gets no new flow.
 func Example() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	service := baobabstep.Service{ID: 1, MaxEjectedShare: 0.5, Targets: []baobabstep.Target{
--- a/core/target/health_test.go
+++ b/core/target/health_test.go
@@ -23,10 +23,9 @@
 	}
 }
 
-// A target answers each request at once with a failure. It has always free
-// slots and few flows, so it would attract all work. After five failures it
-// gets none until its ejection is over, and ever less if it goes on.
-func TestTargetThatFailsFastAttractsNothing(t *testing.T) {
+// A target that fails each request at once always has free slots and would
+// attract all work. Five failures eject it, for longer each time.
+func TestFastFailingTargetIsEjected(t *testing.T) {
 	r, s := setUp(t, 5)
 	first := s.Targets[0].ID
 	fail(r, epoch, first, 4)
@@ -46,10 +45,10 @@
 	qt.Assert(t, out > 9*time.Minute, qt.IsTrue, qt.Commentf("got %v of 10 min", out))
 }
 
-// More targets look unhealthy than the service allows to eject. The news is
-// then more likely wrong than the targets, and sending all work to the few that
-// are left would fell them: all get work.
-func TestPanicSpreadsOverAll(t *testing.T) {
+// More targets look unhealthy than the service allows to eject. The evidence is
+// then more likely wrong than the targets, and the few others would be
+// overloaded: all targets get work.
+func TestPanicModeUsesAllTargets(t *testing.T) {
 	r, s := setUp(t, 5)
 	for i := range 2 {
 		fail(r, epoch, s.Targets[i].ID, 5)
@@ -59,10 +58,9 @@
 	qt.Assert(t, len(pickable(r, epoch, s)), qt.Equals, 5)
 }
 
-// A target's report says that it is idle while flows are counted on it, or that
-// it is full while it is not. The first changes nothing. The second keeps work
-// away only as long as others have room.
-func TestReportsThatLie(t *testing.T) {
+// A report of an idle target must not lower the load that the counts give. A
+// wrong report of a full target keeps work away only while others have room.
+func TestWrongReports(t *testing.T) {
 	t.Run("idle", func(t *testing.T) {
 		r, s := setUp(t, 2)
 		first := s.Targets[0].ID
@@ -83,9 +81,8 @@
 	})
 }
 
-// Probes of a target stay without an answer, then come back one by one. It is
-// out after three misses and in again after three answers: one lost or one
-// lucky probe changes nothing.
+// A single lost or answered probe changes nothing: three consecutive misses
+// mark a target down, three consecutive answers bring it back.
 func TestProbesNeedThreeInARow(t *testing.T) {
 	r, s := setUp(t, 4)
 	r.SetView(epoch, testView(3, dataCentre))
@@ -99,7 +96,8 @@
 			}
 		}
 	}
-	// The first round asks, and each later one finds the one before missed.
+	// The first round sends a probe; each later one counts the previous as
+	// missed.
 	for i, want := range []bool{true, true, true, false} {
 		round(false)
 		qt.Assert(t, pickable(r, now, s)[first] > 0, qt.Equals, want, qt.Commentf("round %d", i))
@@ -110,9 +108,9 @@
 	}
 }
 
-// Other VMs tell that they cannot reach a target. One of them may be cut off
-// from it alone; two are believed.
-func TestWordOfTwoProbersIsBelieved(t *testing.T) {
+// One other VM that cannot reach a target may itself be cut off from it;
+// results of two probers mark the target down.
+func TestTwoPeerProbersMarkTargetDown(t *testing.T) {
 	r, s := setUp(t, 4)
 	r.SetView(epoch, testView(9, dataCentre))
 	first := s.Targets[0].ID
@@ -121,13 +119,13 @@
 		other.SetConfig(epoch, testConfig(*s))
 		other.SetView(epoch, testView(9, dataCentre))
 		other.Report(epoch, first, baobabstep.TargetReport{Healthy: false})
-		learn(t, r, epoch, vmID(i+1), other.News(epoch, 1000))
+		handleGossip(t, r, epoch, vmID(i+1), other.News(epoch, 1000))
 		qt.Assert(t, pickable(r, epoch, s)[first] > 0, qt.Equals, want)
 	}
 }
 
-// An address moved from one service to another a moment ago. A VM on the old
-// configuration might take it for the old service's, so it gets no work.
+// An address just moved between services. A VM with the old configuration could
+// take it for the old service's target, so it gets no work.
 func TestQuarantinedAddressGetsNoWork(t *testing.T) {
 	s := testService(3, dataCentre)
 	r := newRegistry(t, 0)
@@ -140,10 +138,9 @@
 	qt.Assert(t, len(pickable(r, now, &s)), qt.Equals, 3)
 }
 
-// Two of three data centres are cut off, so two thirds of the targets are out of
-// reach. That is no reason to ignore health: the ones at hand get the work. If
-// a data centre lost its VMs but not its targets, the probes of others find
-// them.
+// Two of three data centres are cut off, so two thirds of the targets are
+// unreachable. That must not start panic mode: only reachable targets get work,
+// including those of a data centre that lost its VMs once probes reach them.
 func TestDataCentreCutOff(t *testing.T) {
 	s := testService(9, "braga-a", "braga-b", "guimaraes")
 	r := newRegistry(t, 0)
@@ -171,10 +168,9 @@
 	return n
 }
 
-// Updates on leaving arrive late, twice and out of order, and the VM that first
-// said so dies. An old update never takes back a newer one, and the death of the
-// one who said it does not either.
-func TestLeavingWordsMergeByVersion(t *testing.T) {
+// Leaving updates arrive late, duplicated and out of order, and their origin
+// dies. Neither may revert a newer update.
+func TestLeavingUpdatesMergeByVersion(t *testing.T) {
 	s := testService(4, dataCentre)
 	a, b, c := newRegistry(t, 0), newRegistry(t, 1), newRegistry(t, 2)
 	for _, r := range []*Registry{a, b, c} {
@@ -193,16 +189,16 @@
 		news []byte
 		want bool
 	}{{leaves, true}, {returns, false}, {leaves, false}, {again, true}, {returns, true}} {
-		learn(t, b, epoch, vmID(0), step.news)
+		handleGossip(t, b, epoch, vmID(0), step.news)
 		qt.Assert(t, out(b), qt.Equals, step.want)
 	}
-	learn(t, c, epoch, vmID(1), b.News(epoch, 1000))
+	handleGossip(t, c, epoch, vmID(1), b.News(epoch, 1000))
 	c.SetView(epoch, &baobabstep.View{Members: testView(3, dataCentre).Members[1:]})
 	qt.Assert(t, out(c), qt.IsTrue)
 }
 
-// A target joins a service that is in use. It is cold, so it gets a small part
-// of its share at first and all of it after the ramp.
+// A target that joins a service in use is cold: it gets a small part of its
+// share at first and all of it after the ramp.
 func TestJoinedTargetRampsUp(t *testing.T) {
 	s := testService(5, dataCentre)
 	r := newRegistry(t, 0)
@@ -217,9 +213,8 @@
 	qt.Assert(t, late > 50, qt.IsTrue, qt.Commentf("got %d of 400", late))
 }
 
-// One target takes ten times as long as the others. Two requests at once make
-// it slower still, so it gets one at a time, and its two slots again once it is
-// as fast as the rest.
+// A target ten times slower than the others gets one request at a time instead
+// of two, and both slots again once it is as fast as the others.
 func TestSlowTargetGetsFewerSlots(t *testing.T) {
 	r, s := setUp(t, 5)
 	work := func(first time.Duration) int {
@@ -238,11 +233,11 @@
 	qt.Assert(t, work(10*time.Millisecond), qt.Equals, 2)
 }
 
-// Bytes from a peer are not what they should be. They change nothing.
-func TestLearnRefusesWhatItCannotRead(t *testing.T) {
+// Malformed or oversized messages are rejected.
+func TestInvalidGossipIsRejected(t *testing.T) {
 	r, _ := setUp(t, 3)
-	qt.Assert(t, learnCode(r, epoch, vmID(1), []byte("no CBOR")), qt.Equals, baobabstep.CodeMalformed)
-	qt.Assert(t, learnCode(r, epoch, vmID(1), make([]byte, maxNewsSize+1)), qt.Equals, baobabstep.CodeTooLarge)
+	qt.Assert(t, handleGossipCode(r, epoch, vmID(1), []byte("no CBOR")), qt.Equals, baobabstep.CodeMalformed)
+	qt.Assert(t, handleGossipCode(r, epoch, vmID(1), make([]byte, maxGossipBytes+1)), qt.Equals, baobabstep.CodeTooLarge)
 }
 
 func FuzzLearn(f *testing.F) {
--- a/core/target/join.go
+++ b/core/target/join.go
@@ -2,37 +2,40 @@
 
 import "time"
 
-// Ask returns the question for all that is leaving. A VM that has not joined
-// yet sends it to members: news go to members only, in rounds, so its first
-// requests would go to targets that have been draining for seconds.
+// Ask returns the encoded query for all leaving targets. A joining VM
+// sends it to members: gossip goes to members only, in rounds, so without the
+// query its first requests could go to targets that have been draining for
+// seconds.
 func (r *Registry) Ask() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.encode(&newsBody{Epoch: r.news.epoch, Ask: true})
+	return r.encode(&gossipMessage{Epoch: r.gossip.epoch, Query: true})
 }
 
-// AnsweredAt is when the last answer to a question came; zero before the first.
+// AnsweredAt returns when the last answer to a query arrived; zero
+// before the first.
 func (r *Registry) AnsweredAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answeredAt
 }
 
-// answer tells the state of every target whose leaving ever changed, as far as
-// one message holds; what does not fit comes by the rotation of the news.
-func (r *Registry) answer() []byte {
+// leavingAnswer encodes the leaving state of every target whose state ever
+// changed, up to the size of one message. The rotation of gossip carries the
+// rest.
+func (r *Registry) leavingAnswer() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	body := newsBody{Epoch: r.news.epoch, Answer: true}
-	left := maxNewsSize - newsHeader
+	body := gossipMessage{Epoch: r.gossip.epoch, Answer: true}
+	left := maxGossipBytes - gossipHeaderBytes
 	for _, e := range r.index.Load().list {
-		if left < leaveBytes {
+		if left < leavingUpdateBytes {
 			break
 		}
 		e.pool.mu.Lock()
 		for s := range e.leaving {
 			if e.leaving[s].version > 0 {
-				left = e.addLeave(&body, Source(s), left)
+				left = e.addLeavingUpdate(&body, Source(s), left)
 			}
 		}
 		e.pool.mu.Unlock()
@@ -40,7 +43,7 @@
 	return r.encode(&body)
 }
 
-func (r *Registry) noteAnswer(now time.Time) {
+func (r *Registry) recordAnswer(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answeredAt = now
--- a/core/target/join_test.go
+++ b/core/target/join_test.go
@@ -10,17 +10,17 @@
 	"baobabstep"
 )
 
-// A target drains, all VMs hear of it, and the updates stop. Seconds later a VM
-// joins, becomes dispatcher, and would hand new work to the draining target: it
-// has not probed it yet. The next news after the join has to tell it.
-func TestJoinedVMHearsOfLeavingTargets(t *testing.T) {
+// A VM that joins after all leaving updates were sent has not probed the
+// draining target yet and would send it new work. The next gossip has to tell
+// it.
+func TestJoinedVMLearnsLeavingTargets(t *testing.T) {
 	s := testService(300, dataCentre)
 	a := newRegistry(t, 0)
 	a.SetConfig(epoch, testConfig(s))
 	a.SetView(epoch, testView(3, dataCentre))
 	leaving := s.Targets[0].ID
 	a.Leaving(epoch, leaving, SourceTarget, true)
-	for range updateSpread {
+	for range leavingSends {
 		a.News(epoch, 1000)
 	}
 
@@ -30,14 +30,14 @@
 	joined.SetView(epoch, testView(4, dataCentre))
 	news := a.News(epoch, 1000)
 	qt.Assert(t, news, qt.IsNotNil)
-	learn(t, joined, epoch, vmID(0), news)
+	handleGossip(t, joined, epoch, vmID(0), news)
 	for _, state := range joined.Table(epoch) {
 		qt.Assert(t, state.Usable, qt.Equals, state.Target != leaving)
 	}
 	qt.Assert(t, pickable(joined, epoch, &s)[leaving], qt.Equals, 0)
 }
 
-// newPair returns the first VM, a member, and another one that joins, with one
+// newPair returns a member, the first VM, and a joining VM with the same
 // configuration.
 func newPair(t *testing.T, s *baobabstep.Service, joiner int) (member, joining *Registry) {
 	t.Helper()
@@ -47,11 +47,11 @@
 	return member, joining
 }
 
-// A target drains and its updates have run out. Seconds later a VM joins and has
-// a request of its own 180 ms afterwards, before the next round of news (500 ms)
-// reaches it: it gives it to the draining target. So a VM asks a member for all
-// that is leaving before it takes roles, and knows it from its first request on.
-func TestJoiningVMAsksWhatIsLeaving(t *testing.T) {
+// A VM that joins after the leaving updates were sent had a request 180 ms
+// later, before the next gossip (500 ms), and sent it to a draining target. A
+// joining VM therefore queries a member for all leaving targets before it takes
+// any role.
+func TestJoiningVMQueriesLeavingTargets(t *testing.T) {
 	s := testService(300, dataCentre)
 	member, joining := newPair(t, &s, 3)
 	member.SetView(epoch, testView(3, dataCentre))
@@ -60,7 +60,7 @@
 	member.Leaving(epoch, leaving, SourceTarget, true)
 	member.Leaving(epoch, returned, SourcePlatform, true)
 	member.Leaving(epoch, returned, SourcePlatform, false)
-	for range updateSpread {
+	for range leavingSends {
 		member.News(epoch, 1000)
 	}
 	qt.Assert(t, joining.AnsweredAt().IsZero(), qt.IsTrue)
@@ -78,17 +78,16 @@
 	qt.Check(t, pickable(joining, now, &s)[leaving], qt.Equals, 0)
 }
 
-// A VM stands still, starts again under its name and asks while the member still
-// knows the higher incarnation of its predecessor: news with a lower one are
-// late and dropped, but the question has to be answered. An empty answer counts:
-// nothing is leaving.
-func TestQuestionOfARestartedVMIsAnswered(t *testing.T) {
+// A restarted VM asks while the member still knows a higher incarnation of its
+// name. Gossip of a lower incarnation is dropped, but the query has to be
+// answered; an empty answer means that nothing is leaving.
+func TestRestartedVMQueryIsAnswered(t *testing.T) {
 	s := testService(10, dataCentre)
 	member, joining := newPair(t, &s, 1)
-	predecessor := newsBody{Epoch: 9}
-	b, err := cbor.Marshal(&predecessor)
+	predecessor := gossipMessage{Epoch: 9}
+	encoded, err := cbor.Marshal(&predecessor)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = member.Learn(epoch, vmID(1), b)
+	_, err = member.Learn(epoch, vmID(1), encoded)
 	qt.Assert(t, err, qt.IsNil)
 	answer, err := member.Learn(epoch, vmID(1), joining.Ask())
 	qt.Assert(t, err, qt.IsNil)
@@ -97,9 +96,9 @@
 	qt.Check(t, joining.AnsweredAt().IsZero(), qt.IsFalse)
 }
 
-// More targets leave than fit one message: the answer stays within the size
-// that Learn takes.
-func TestAnswerStaysWithinTheSizeOfNews(t *testing.T) {
+// With more leaving targets than fit into one message, the answer stays within
+// the size that receivers accept.
+func TestLeavingAnswerFitsMessageLimit(t *testing.T) {
 	s := testService(4000, dataCentre)
 	member, joining := newPair(t, &s, 1)
 	for i := range s.Targets {
@@ -115,5 +114,5 @@
 			known++
 		}
 	}
-	qt.Check(t, known, qt.Equals, (maxNewsSize-newsHeader)/leaveBytes)
+	qt.Check(t, known, qt.Equals, (maxGossipBytes-gossipHeaderBytes)/leavingUpdateBytes)
 }
--- a/core/target/news.go
+++ b/core/target/news.go
@@ -8,31 +8,32 @@
 	"baobabstep"
 )
 
-// newsBody is what one VM tells the others of targets.
-type newsBody struct {
-	// Epoch is the sender's incarnation: sequences are compared within one.
-	Epoch   uint64          `cbor:"epoch"`
-	Updates []update        `cbor:"updates,omitempty"`
-	Leaves  []leavingUpdate `cbor:"leaves,omitempty"`
-	// Ask wants an answer with all that is leaving; Answer is one.
-	Ask    bool `cbor:"ask,omitempty"`
+// gossipMessage is what one VM tells others about targets.
+type gossipMessage struct {
+	// Epoch is the sender's incarnation; sequences are comparable within one.
+	Epoch          uint64          `cbor:"epoch"`
+	Updates        []targetUpdate  `cbor:"updates,omitempty"`
+	LeavingUpdates []leavingUpdate `cbor:"leaves,omitempty"`
+	// Query requests an answer with all leaving updates; Answer marks one.
+	Query  bool `cbor:"ask,omitempty"`
 	Answer bool `cbor:"answer,omitempty"`
 }
 
-// update is the sender's own state of one target.
-type update struct {
+// targetUpdate is the sender's own state of one target.
+type targetUpdate struct {
 	_        struct{} `cbor:",toarray"`
 	Target   baobabstep.TargetID
 	Sequence uint64
 	Flows    uint32
-	// Probed says that the sender is a prober, has an answer to its last
-	// probes, and that Connections is from it.
+	// Probed says that the sender is a prober whose last probes were answered,
+	// and that Connections comes from such an answer.
 	Probed      bool
 	Down        bool
 	Connections uint32
 }
 
-// leavingUpdate is one source's update. Unlike a update it is passed on.
+// leavingUpdate is one source's update. Unlike a targetUpdate it is passed on
+// by its receivers.
 type leavingUpdate struct {
 	_       struct{} `cbor:",toarray"`
 	Target  baobabstep.TargetID
@@ -41,212 +42,214 @@
 	Leaving bool
 }
 
-// Sizes of encoded news, rounded up.
+// Upper bounds of encoded sizes in bytes.
 const (
-	newsHeader  = 32
-	updateBytes = 40
-	leaveBytes  = 24
-	maxNewsSize = 64 << 10
+	gossipHeaderBytes  = 32
+	targetUpdateBytes  = 40
+	leavingUpdateBytes = 24
+	maxGossipBytes     = 64 << 10
 )
 
-// peerUpdate is what another VM told of a target.
-type peerUpdate struct {
+// peerState is the last update of another VM about a target.
+type peerState struct {
 	vm       baobabstep.VMID
 	sequence uint64
 	flows    int
-	// up and down are findings of a prober.
+	// up and down are results of the VM's probes, if it is a prober.
 	up, down bool
 }
 
-// sentUpdate is what was last told of a target.
-type sentUpdate struct {
+// sentState is what was last sent about a target.
+type sentState struct {
 	flows    int
 	up, down bool
-	queued   bool
+	changed  bool
 }
 
-// outgoing holds the targets with something to tell.
-type outgoing struct {
+// gossipState is the state of outgoing gossip.
+type gossipState struct {
 	epoch    uint64
 	sequence uint64
-	// refresh is the position of the rotation that tells each target again
-	// from time to time, since messages may be lost.
+	// rotation holds the targets still to be sent in this round, changed or
+	// not, since messages may be lost.
 	rotation []*entry
 }
 
-// changed notes that there may be something to tell. Entries are found by
-// the rotation; the flag keeps small changes from being told at once.
-func (e *entry) changed() { e.sent.queued = true }
+// markChanged notes that the target's state may differ from what was sent.
+// needsSending then decides whether to send it before its turn in the rotation.
+func (e *entry) markChanged() { e.sent.changed = true }
 
-// up tells whether this VM is a prober and had a good answer.
-func (e *entry) up() bool {
-	return e.health.prober && e.reported.known && e.health.goodProbes > 0
+// probedUp tells whether this VM is a prober and had a good answer.
+func (e *entry) probedUp() bool {
+	return e.health.prober && e.lastReport.known && e.health.goodProbes > 0
 }
 
-// changedEnough tells whether the state differs enough from what was told.
-// Small changes wait for the rotation: a step of 1/32 of the count is below
-// the spread that two random choices leave anyway.
-func (e *entry) changedEnough() bool {
-	if !e.sent.queued {
+// needsSending tells whether the state differs enough from what was sent. Small
+// changes wait for the rotation: a step of 1/32 of the count is below the
+// spread that the choice between two random targets leaves anyway.
+func (e *entry) needsSending() bool {
+	if !e.sent.changed {
 		return false
 	}
-	if e.sent.down != e.health.down || e.sent.up != e.up() {
+	if e.sent.down != e.health.down || e.sent.up != e.probedUp() {
 		return true
 	}
 	change := e.flows - e.sent.flows
 	return max(change, -change) >= max(1, e.sent.flows/32)
 }
 
-// setEpoch takes the own incarnation from the view.
+// setEpoch reads this VM's incarnation from the view.
 func (r *Registry) setEpoch(v *baobabstep.View) {
 	for i := range v.Members {
 		if vm := &v.Members[i]; vm.ID == r.opts.Self {
-			r.news.epoch = max(r.news.epoch, vm.Incarnation)
+			r.gossip.epoch = max(r.gossip.epoch, vm.Incarnation)
 		}
 	}
 }
 
-// News returns what to tell the other VMs of the region, at most maxBytes, or
-// nil when there is nothing. Leaving updates go first, then changed counts, then
-// a few targets by rotation.
+// News returns the gossip for the other VMs of the region, at most
+// maxBytes, or nil if there is none. Leaving updates go first, then changed
+// counts, then a few targets by rotation.
 func (r *Registry) News(_ time.Time, maxBytes int) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := &r.news
+	n := &r.gossip
 	if len(n.rotation) == 0 {
-		n.fill(r.index.Load())
+		n.refillRotation(r.index.Load())
 	}
-	body := newsBody{Epoch: n.epoch}
-	left := maxBytes - newsHeader
+	body := gossipMessage{Epoch: n.epoch}
+	left := maxBytes - gossipHeaderBytes
 	left = r.addChanges(&body, left)
 	r.addRotation(&body, left)
-	if len(body.Updates) == 0 && len(body.Leaves) == 0 {
+	if len(body.Updates) == 0 && len(body.LeavingUpdates) == 0 {
 		return nil
 	}
 	return r.encode(&body)
 }
 
-func (n *outgoing) fill(x *index) {
+func (n *gossipState) refillRotation(x *index) {
 	n.rotation = append(n.rotation, x.list...)
 }
 
-func (r *Registry) addChanges(body *newsBody, left int) int {
+func (r *Registry) addChanges(body *gossipMessage, left int) int {
 	for _, e := range r.index.Load().list {
-		if left < updateBytes+leaveBytes {
+		if left < targetUpdateBytes+leavingUpdateBytes {
 			return left
 		}
 		e.pool.mu.Lock()
-		left = e.addLeaving(body, left)
-		if e.changedEnough() {
-			left -= r.addUpdate(body, e)
+		left = e.addPendingLeaving(body, left)
+		if e.needsSending() {
+			left -= r.addTargetUpdate(body, e)
 		}
 		e.pool.mu.Unlock()
 	}
 	return left
 }
 
-// rotationStep is how many unchanged targets are told again in each news.
+// rotationStep is how many unchanged targets each message repeats.
 const rotationStep = 2
 
-func (r *Registry) addRotation(body *newsBody, left int) {
-	n := &r.news
-	for i := 0; i < rotationStep && left >= updateBytes && len(n.rotation) > 0; i++ {
+func (r *Registry) addRotation(body *gossipMessage, left int) {
+	n := &r.gossip
+	for i := 0; i < rotationStep && left >= targetUpdateBytes && len(n.rotation) > 0; i++ {
 		last := len(n.rotation) - 1
 		e := n.rotation[last]
 		n.rotation = n.rotation[:last]
 		e.pool.mu.Lock()
-		if e.flows > 0 || e.up() || e.health.down || e.sent.flows > 0 {
-			left -= r.addUpdate(body, e)
+		if e.flows > 0 || e.probedUp() || e.health.down || e.sent.flows > 0 {
+			left -= r.addTargetUpdate(body, e)
 		}
 		for s := range e.leaving {
-			if e.leaving[s].version > 0 && e.leaving[s].spread == 0 {
-				e.leaving[s].spread = 1
+			if e.leaving[s].version > 0 && e.leaving[s].sendsLeft == 0 {
+				e.leaving[s].sendsLeft = 1
 			}
 		}
 		e.pool.mu.Unlock()
 	}
 }
 
-func (e *entry) addLeaving(body *newsBody, left int) int {
+func (e *entry) addPendingLeaving(body *gossipMessage, left int) int {
 	for s := range e.leaving {
-		g := &e.leaving[s]
-		if g.spread == 0 {
+		state := &e.leaving[s]
+		if state.sendsLeft == 0 {
 			continue
 		}
-		if after := e.addLeave(body, Source(s), left); after < left {
-			g.spread--
+		if after := e.addLeavingUpdate(body, Source(s), left); after < left {
+			state.sendsLeft--
 			left = after
 		}
 	}
 	return left
 }
 
-// addLeave adds one source's update, as far as left bytes allow, and returns
-// what is left. What the configuration says reaches all VMs with it.
-func (e *entry) addLeave(body *newsBody, s Source, left int) int {
-	if s == SourceOperator || left < leaveBytes {
+// addLeavingUpdate adds one source's update if it fits into left bytes, and
+// returns the bytes left. Operators' updates reach all VMs with the
+// configuration.
+func (e *entry) addLeavingUpdate(body *gossipMessage, s Source, left int) int {
+	if s == SourceOperator || left < leavingUpdateBytes {
 		return left
 	}
-	g := &e.leaving[s]
-	body.Leaves = append(body.Leaves, leavingUpdate{Target: e.target.ID, Source: s, Version: g.version, Leaving: g.leaving})
-	return left - leaveBytes
+	state := &e.leaving[s]
+	body.LeavingUpdates = append(body.LeavingUpdates, leavingUpdate{Target: e.target.ID, Source: s, Version: state.version, Leaving: state.leaving})
+	return left - leavingUpdateBytes
 }
 
-func (r *Registry) addUpdate(body *newsBody, e *entry) int {
-	r.news.sequence++
-	e.sent = sentUpdate{flows: e.flows, up: e.up(), down: e.health.down}
-	body.Updates = append(body.Updates, update{
+func (r *Registry) addTargetUpdate(body *gossipMessage, e *entry) int {
+	r.gossip.sequence++
+	e.sent = sentState{flows: e.flows, up: e.probedUp(), down: e.health.down}
+	body.Updates = append(body.Updates, targetUpdate{
 		Target:      e.target.ID,
-		Sequence:    r.news.sequence,
+		Sequence:    r.gossip.sequence,
 		Flows:       uint32(e.flows),
-		Probed:      e.up(),
+		Probed:      e.probedUp(),
 		Down:        e.health.down,
-		Connections: uint32(e.reported.connections),
+		Connections: uint32(e.lastReport.connections),
 	})
-	return updateBytes
+	return targetUpdateBytes
 }
 
-// encode returns nil, and breaks an invariant, for a body that has no encoding.
-func (r *Registry) encode(body *newsBody) []byte {
+// encode returns nil, and reports an invariant violation, for a body that
+// cannot be encoded.
+func (r *Registry) encode(body *gossipMessage) []byte {
 	b, err := cbor.Marshal(body)
 	if err != nil {
-		r.breaks("news", err.Error())
+		r.invariantBroken("news", err.Error())
 		return nil
 	}
 	return b
 }
 
-// Learn takes the news of another VM, which may be late, doubled or out of
-// order, and returns the reply to a question, or nil.
+// Learn applies a gossip message of another VM, which may be late,
+// duplicated or out of order. It returns the reply to a query, otherwise nil.
 func (r *Registry) Learn(now time.Time, from baobabstep.VMID, encoded []byte) ([]byte, error) {
-	if len(encoded) > maxNewsSize {
-		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "target.learn", "got %d bytes, want at most %d", len(encoded), maxNewsSize)
+	if len(encoded) > maxGossipBytes {
+		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "target.learn", "got %d bytes, want at most %d", len(encoded), maxGossipBytes)
 	}
-	var body newsBody
+	var body gossipMessage
 	if err := cbor.Unmarshal(encoded, &body); err != nil {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "target.learn", "%w", err)
 	}
-	if body.Ask {
-		return r.answer(), nil
+	if body.Query {
+		return r.leavingAnswer(), nil
 	}
-	if !r.newEnough(from, body.Epoch) {
+	if !r.acceptEpoch(from, body.Epoch) {
 		return nil, nil
 	}
 	for i := range body.Updates {
-		r.learnUpdate(from, &body.Updates[i])
+		r.applyTargetUpdate(from, &body.Updates[i])
 	}
-	for i := range body.Leaves {
-		r.learnLeaving(&body.Leaves[i])
+	for i := range body.LeavingUpdates {
+		r.applyLeavingUpdate(&body.LeavingUpdates[i])
 	}
 	if body.Answer {
-		r.noteAnswer(now)
+		r.recordAnswer(now)
 	}
 	return nil, nil
 }
 
-// newEnough checks the sender's incarnation; updates of an older one are dropped
-// when a newer one is heard, since its process and its flows are gone.
-func (r *Registry) newEnough(from baobabstep.VMID, epoch uint64) bool {
+// acceptEpoch checks the sender's incarnation. A newer one drops the updates of
+// the older, whose process and flows are gone.
+func (r *Registry) acceptEpoch(from baobabstep.VMID, epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.epochs[from]
@@ -260,65 +263,65 @@
 	return true
 }
 
-func (r *Registry) learnUpdate(from baobabstep.VMID, w *update) {
-	e := r.entryOf(w.Target)
+func (r *Registry) applyTargetUpdate(from baobabstep.VMID, u *targetUpdate) {
+	e := r.entryOf(u.Target)
 	if e == nil || from == r.opts.Self {
 		return
 	}
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	p := e.peer(from)
-	if w.Sequence <= p.sequence {
+	p := e.peerStateOf(from)
+	if u.Sequence <= p.sequence {
 		return
 	}
-	if p.down != w.Down || p.up != w.Probed {
+	if p.down != u.Down || p.up != u.Probed {
 		e.pool.dirty = true
 	}
-	e.othersFlows += int(w.Flows) - p.flows
-	*p = peerUpdate{vm: from, sequence: w.Sequence, flows: int(w.Flows), up: w.Probed, down: w.Down}
-	if w.Probed && !e.health.prober {
-		e.reported = reported{known: true, connections: int(w.Connections), base: e.flows}
+	e.peerFlows += int(u.Flows) - p.flows
+	*p = peerState{vm: from, sequence: u.Sequence, flows: int(u.Flows), up: u.Probed, down: u.Down}
+	if u.Probed && !e.health.prober {
+		e.lastReport = receivedReport{known: true, connections: int(u.Connections), flowsAtReport: e.flows}
 	}
-	e.recount()
+	e.updateLoad()
 }
 
-// peer returns the update of a VM, adding an empty one.
-func (e *entry) peer(vm baobabstep.VMID) *peerUpdate {
-	for i := range e.others {
-		if e.others[i].vm == vm {
-			return &e.others[i]
+// peerStateOf returns the state received from a VM, adding an empty one.
+func (e *entry) peerStateOf(vm baobabstep.VMID) *peerState {
+	for i := range e.peerStates {
+		if e.peerStates[i].vm == vm {
+			return &e.peerStates[i]
 		}
 	}
-	e.others = append(e.others, peerUpdate{vm: vm})
-	return &e.others[len(e.others)-1]
+	e.peerStates = append(e.peerStates, peerState{vm: vm})
+	return &e.peerStates[len(e.peerStates)-1]
 }
 
 func (e *entry) dropPeer(vm baobabstep.VMID) {
-	for i := range e.others {
-		if e.others[i].vm != vm {
+	for i := range e.peerStates {
+		if e.peerStates[i].vm != vm {
 			continue
 		}
-		e.othersFlows -= e.others[i].flows
-		e.pool.dirty = e.pool.dirty || e.others[i].down
-		e.others = append(e.others[:i], e.others[i+1:]...)
-		e.recount()
+		e.peerFlows -= e.peerStates[i].flows
+		e.pool.dirty = e.pool.dirty || e.peerStates[i].down
+		e.peerStates = append(e.peerStates[:i], e.peerStates[i+1:]...)
+		e.updateLoad()
 		return
 	}
 }
 
-// learnLeaving merges by version; of two updates of one version the one that
-// says leaving wins, so that two VMs that disagree end up on the safe side.
-func (r *Registry) learnLeaving(w *leavingUpdate) {
-	e := r.entryOf(w.Target)
-	if e == nil || w.Source >= numSources || w.Source == SourceOperator {
+// applyLeavingUpdate merges by version. Of two updates of one version the one
+// that says leaving wins, so that VMs that disagree converge on the safe side.
+func (r *Registry) applyLeavingUpdate(u *leavingUpdate) {
+	e := r.entryOf(u.Target)
+	if e == nil || u.Source >= numSources || u.Source == SourceOperator {
 		return
 	}
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	g := &e.leaving[w.Source]
-	if w.Version < g.version || (w.Version == g.version && (g.leaving || !w.Leaving)) {
+	state := &e.leaving[u.Source]
+	if u.Version < state.version || (u.Version == state.version && (state.leaving || !u.Leaving)) {
 		return
 	}
-	*g = register{version: w.Version, leaving: w.Leaving, spread: updateSpread}
+	*state = leavingState{version: u.Version, leaving: u.Leaving, sendsLeft: leavingSends}
 	e.pool.dirty = true
 }
--- a/core/target/pick.go
+++ b/core/target/pick.go
@@ -7,9 +7,9 @@
 	"baobabstep"
 )
 
-// minWeight is the least share of its even part that a target in its ramp is
-// given: with none, nothing would be observed and the ramp could not end.
-const minWeight = 0.1
+// minRampWeight is the smallest share that a target gets during its ramp:
+// without any work there would be no outcomes, and the ramp could not end.
+const minRampWeight = 0.1
 
 // PickFlow implements [baobabstep.Chooser].
 func (r *Registry) PickFlow(now time.Time, service *baobabstep.Service, near string, draw uint64) (baobabstep.TargetID, baobabstep.Code) {
@@ -28,23 +28,23 @@
 		return 0, baobabstep.CodeNoCapacity
 	}
 	if e.isLeaving() || e.quarantined {
-		r.breaks("I6", "picked a target that takes no new work")
+		r.invariantBroken("I6", "picked a target that takes no new work")
 	}
 	e.flows++
-	e.recount()
-	e.changed()
+	e.updateLoad()
+	e.markChanged()
 	return e.target.ID, baobabstep.CodeOK
 }
 
-// pickFlow tries the near data centre, then all, and last the targets that
-// are full by their own reports only: such a report may be wrong, and the
-// target refuses if it is not.
+// pickFlow tries the near data centre, then all, and last the targets that are
+// full only by their own reports: a report may be wrong, and if it is right the
+// target refuses.
 func (p *pool) pickFlow(now time.Time, near string, d draws) *entry {
-	p.opened++
-	if e := p.pickBehind(now, &d); e != nil {
+	p.openedSince++
+	if e := p.pickUnderloaded(now, &d); e != nil {
 		return e
 	}
-	if set := p.near[near]; set != nil && set.mean() <= p.usable.mean()*(1+p.reg.opts.NearMargin)+0.005 {
+	if set := p.byDataCentre[near]; set != nil && set.meanUtilisation() <= p.usable.meanUtilisation()*(1+p.reg.opts.NearMargin)+0.005 {
 		if e := set.pickFlow(now, &d); e != nil {
 			return e
 		}
@@ -53,7 +53,7 @@
 		return e
 	}
 	for _, e := range p.usable.entries {
-		if e.flows+e.othersFlows < e.target.Connections && !e.health.holding(now) {
+		if e.flows+e.peerFlows < e.target.Connections && !e.health.paused(now) {
 			return e
 		}
 	}
@@ -66,10 +66,10 @@
 	if n == 0 {
 		return nil
 	}
-	first := s.entries[d.below(n)]
+	first := s.entries[d.intN(n)]
 	best := first.candidate(now, d)
 	if n > 1 {
-		second := s.entries[d.below(n)]
+		second := s.entries[d.intN(n)]
 		best = lessLoaded(best, second.candidate(now, d))
 	}
 	if best != nil {
@@ -83,20 +83,20 @@
 	return best
 }
 
-// candidate returns e if it may be taken: a target in its ramp is passed over
-// with the probability that its weight lacks.
+// candidate returns e if it may be picked. A target in its ramp is skipped with
+// a probability of 1 - rampWeight.
 func (e *entry) candidate(now time.Time, d *draws) *entry {
 	if !e.hasRoom(now) {
 		return nil
 	}
-	if w := e.weight(now); w < 1 && d.float() >= w {
+	if w := e.rampWeight(now); w < 1 && d.float() >= w {
 		return nil
 	}
 	return e
 }
 
 func (e *entry) hasRoom(now time.Time) bool {
-	return e.load < e.target.Connections && !e.health.holding(now)
+	return e.load < e.target.Connections && !e.health.paused(now)
 }
 
 func lessLoaded(a, b *entry) *entry {
@@ -112,20 +112,20 @@
 	}
 }
 
-func (e *entry) share() float64 {
+func (e *entry) utilisation() float64 {
 	return float64(e.load) / float64(max(1, e.target.Connections))
 }
 
-// weight is the share of its even part that the target may get now: below 1
-// in the ramp after it joined or returned, and for as long (up to six ramps)
-// as it is seen to be slower than the rest of the pool. The ramp grows with
-// time or, if it gets requests, with what it answered.
-func (e *entry) weight(now time.Time) float64 {
-	if e.since.IsZero() {
+// rampWeight is the fraction of its even share that the target may get now. It
+// is below 1 during the ramp after the target joined or returned, and for up to
+// six ramps while the target is slower than the rest of the pool. The ramp
+// rises with time or, for requests, with the number of answers.
+func (e *entry) rampWeight(now time.Time) float64 {
+	if e.rampStart.IsZero() {
 		return 1
 	}
 	ramp := e.pool.reg.opts.SlowStart
-	age := now.Sub(e.since)
+	age := now.Sub(e.rampStart)
 	if age >= 6*ramp {
 		return 1
 	}
@@ -133,51 +133,51 @@
 	if slow := e.health.serviceTime; slow > 1.5*e.pool.serviceTime && e.pool.serviceTime > 0 {
 		w = min(w, e.pool.serviceTime/slow)
 	}
-	return max(minWeight, w)
+	return max(minRampWeight, w)
 }
 
 // FlowOpened implements [baobabstep.Chooser].
-func (r *Registry) FlowOpened(_ time.Time, id baobabstep.TargetID) { r.countFlow(id, 1) }
+func (r *Registry) FlowOpened(_ time.Time, id baobabstep.TargetID) { r.addFlows(id, 1) }
 
 // FlowClosed implements [baobabstep.Chooser].
-func (r *Registry) FlowClosed(_ time.Time, id baobabstep.TargetID) { r.countFlow(id, -1) }
+func (r *Registry) FlowClosed(_ time.Time, id baobabstep.TargetID) { r.addFlows(id, -1) }
 
-func (r *Registry) countFlow(id baobabstep.TargetID, by int) {
+func (r *Registry) addFlows(id baobabstep.TargetID, delta int) {
 	e := r.entryOf(id)
 	if e == nil {
 		return
 	}
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	e.flows += by
+	e.flows += delta
 	if e.flows < 0 {
 		e.flows = 0
-		r.breaks("flow_count", "more flows closed than opened")
+		r.invariantBroken("flow_count", "more flows closed than opened")
 	}
-	e.recount()
-	e.changed()
+	e.updateLoad()
+	e.markChanged()
 }
 
 // FlowRefused implements [baobabstep.Chooser].
 func (r *Registry) FlowRefused(now time.Time, id baobabstep.TargetID, code baobabstep.Code) {
-	r.countFlow(id, -1)
+	r.addFlows(id, -1)
 	r.Outcome(now, id, code, 0)
 }
 
-// groupTargets is the most targets that one dispatcher looks after.
-const groupTargets = 64
+// maxGroupTargets is the maximum number of targets per dispatcher.
+const maxGroupTargets = 64
 
-// Groups returns the number of groups of a service with n targets: a power of
-// two, so that it seldom changes.
+// Groups returns the number of groups of a service with n targets: a
+// power of two, so that it rarely changes.
 func Groups(n int) int {
-	if n <= groupTargets {
+	if n <= maxGroupTargets {
 		return 1
 	}
-	return 1 << bits.Len(uint((n-1)/groupTargets))
+	return 1 << bits.Len(uint((n-1)/maxGroupTargets))
 }
 
-// group returns the usable targets of a group; none when the asker acts on a
-// configuration with another number of groups.
+// group returns the usable targets of a group, or nil if groups is the number
+// of another configuration.
 func (p *pool) group(group, groups int) []*entry {
 	if groups != len(p.groups) {
 		return nil
@@ -185,18 +185,18 @@
 	return p.groups[group]
 }
 
-// Slot names what PickSlot may choose from: the targets of one group of a
-// service. Groups split large services between dispatchers.
+// Slot is a query for PickSlot: one group of a service. Groups split
+// large services between dispatchers.
 type Slot struct {
 	Service       *baobabstep.Service
 	Group, Groups int
-	// Exclude is a target not to choose, such as one that just refused.
+	// Exclude is a target to avoid, such as one that just refused.
 	Exclude baobabstep.TargetID
 }
 
-// PickSlot takes a slot of the target with the least share of its slots in
-// use. The slot is taken until SlotDone. CodeNoCapacity says
-// that all slots are in use, CodeNoTarget that no target may take work.
+// PickSlot takes a slot of the target with the smallest share of its slots in
+// use. The slot is in use until SlotDone. CodeNoCapacity means that all slots
+// are in use, CodeNoTarget that no target may get work.
 func (r *Registry) PickSlot(now time.Time, q Slot) (baobabstep.TargetID, baobabstep.Code) {
 	p := r.index.Load().pools[q.Service.ID]
 	if p == nil {
@@ -213,15 +213,15 @@
 		return 0, baobabstep.CodeNoCapacity
 	}
 	if best.isLeaving() || best.quarantined {
-		r.breaks("I6", "picked a target that takes no new work")
+		r.invariantBroken("I6", "picked a target that takes no new work")
 	}
-	best.slots++
-	p.slotTurn++
-	best.lastSlot = p.slotTurn
+	best.slotsUsed++
+	p.slotSequence++
+	best.lastSlotSequence = p.slotSequence
 	return best.target.ID, baobabstep.CodeOK
 }
 
-// pickSlot scans the group, which is small by its definition.
+// pickSlot scans the whole group, which has at most about maxGroupTargets.
 func (p *pool) pickSlot(now time.Time, q *Slot) *entry {
 	var best *entry
 	bestScore := 0.0
@@ -230,7 +230,7 @@
 			continue
 		}
 		score := e.slotScore(now, q)
-		if best == nil || score < bestScore || (score == bestScore && e.lastSlot < best.lastSlot) {
+		if best == nil || score < bestScore || (score == bestScore && e.lastSlotSequence < best.lastSlotSequence) {
 			best, bestScore = e, score
 		}
 	}
@@ -238,52 +238,52 @@
 }
 
 func (e *entry) hasSlot(now time.Time) bool {
-	return e.slots < e.slotLimit(now) && !e.health.holding(now)
+	return e.slotsUsed < e.slotLimit(now) && !e.health.paused(now)
 }
 
-// slotLimit is the bound of slots in use: the adaptive limit times the ramp,
-// but at least one.
+// slotLimit is the maximum of slots in use: the adaptive limit times the ramp
+// weight, at least one.
 func (e *entry) slotLimit(now time.Time) int {
-	return min(e.target.Slots, max(1, int(e.limit*e.weight(now)+0.5)))
+	return min(e.target.Slots, max(1, int(e.adaptiveSlots*e.rampWeight(now)+0.5)))
 }
 
 // slotScore orders targets by the share of their slots in use; of equal ones
-// the one that waited longest is taken. The data centre does not count: the way
-// to another one takes a small part of the time that a request takes, and a
-// preference would load the dispatcher's own targets twice as much as the rest.
-// Excluded targets come last, since one target is better than none.
+// the one that waited longest is picked. The data centre does not count: the
+// network delay is small against a request's service time, and a preference
+// would load the dispatcher's own targets twice as much as the rest. An
+// excluded target is only picked if there is no other.
 func (e *entry) slotScore(now time.Time, q *Slot) float64 {
-	score := float64(e.slots) / float64(max(1, e.slotLimit(now)))
+	score := float64(e.slotsUsed) / float64(max(1, e.slotLimit(now)))
 	if e.target.ID == q.Exclude {
 		score += 2
 	}
 	return score
 }
 
-// SlotDone gives a slot back and takes the outcome as evidence.
+// SlotDone frees a slot and records the outcome of its request.
 func (r *Registry) SlotDone(now time.Time, id baobabstep.TargetID, code baobabstep.Code, serviceTime time.Duration) {
 	e := r.entryOf(id)
 	if e == nil {
 		return
 	}
 	e.pool.mu.Lock()
-	e.slots--
-	if e.slots < 0 {
-		e.slots = 0
-		r.breaks("slot_count", "more slots given back than taken")
+	e.slotsUsed--
+	if e.slotsUsed < 0 {
+		e.slotsUsed = 0
+		r.invariantBroken("slot_count", "more slots given back than taken")
 	}
 	if code == baobabstep.CodeOutcomeUnknown || code == baobabstep.CodeCancelled {
-		// The slot may still be in use: of targets alike this one is
-		// taken last.
-		e.pool.slotTurn++
-		e.lastSlot = e.pool.slotTurn
+		// The slot may still be in use: of targets with equal scores this one
+		// is picked last.
+		e.pool.slotSequence++
+		e.lastSlotSequence = e.pool.slotSequence
 	}
 	e.pool.mu.Unlock()
 	r.Outcome(now, id, code, serviceTime)
 }
 
-// Slots returns the slots that the usable targets of a group have in all, and
-// the mean service time seen in the pool.
+// Slots returns the total slots of the usable targets of a group, and the mean
+// service time of the pool.
 func (r *Registry) Slots(now time.Time, service baobabstep.ServiceID, group, groups int) (slots int, serviceTime time.Duration) {
 	p := r.index.Load().pools[service]
 	if p == nil {
@@ -298,7 +298,7 @@
 	return slots, time.Duration(p.serviceTime * float64(time.Second))
 }
 
-// draws turns one random number into a sequence of them.
+// draws is a pseudo-random sequence seeded with one random number.
 type draws uint64
 
 func (d *draws) next() uint64 {
@@ -306,11 +306,12 @@
 	return mix(uint64(*d))
 }
 
-func (d *draws) below(n int) int { return int(d.next() % uint64(n)) }
+func (d *draws) intN(n int) int { return int(d.next() % uint64(n)) }
 
 func (d *draws) float() float64 { return float64(d.next()>>11) / (1 << 53) }
 
-// mix is a bijection whose output bits all depend on all input bits.
+// mix is a bijective mixing function whose output bits depend on all input
+// bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -17,93 +17,95 @@
 	mu      sync.Mutex
 	service *baobabstep.Service
 	entries []*entry
-	// dirty asks for a new choice of usable targets before the next pick;
-	// so does a present time past changeAt (an ejection or ramp that ends).
-	dirty    bool
-	changeAt time.Time
-	// usable are the targets that may get new work, by data centre and in
-	// all.
-	usable usableSet
-	near   map[string]*usableSet
-	// slotTurn counts the slots given away.
-	slotTurn uint64
-	// groups are the usable targets by group; their number follows from
-	// the configuration alone.
+	// dirty requests a refresh of the usable sets before the next pick; so does
+	// reaching refreshAt, the end of an ejection.
+	dirty     bool
+	refreshAt time.Time
+	// usable are the targets that may get new work, byDataCentre the same by
+	// data centre.
+	usable       usableSet
+	byDataCentre map[string]*usableSet
+	// slotSequence counts the slots handed out.
+	slotSequence uint64
+	// groups are the usable targets by group; the number of groups depends only
+	// on the configuration.
 	groups [][]*entry
-	// behind are the targets with too few flows, found at behindAt; opened
-	// counts the own picks since then.
-	behind   []*entry
-	behindAt time.Time
-	opened   int
+	// underloaded are the targets with too few flows, found at underloadedAt;
+	// openedSince counts this VM's picks since then.
+	underloaded   []*entry
+	underloadedAt time.Time
+	openedSince   int
 	// panicking is set while more targets look unhealthy than the service
-	// allows to eject: then health is ignored.
+	// allows to eject; health is then ignored.
 	panicking bool
-	// blind is set while all targets are out of reach by their data centres:
-	// then reach is ignored.
-	blind bool
+	// ignoreReach is set while the data centres of all targets are cut off;
+	// reachability is then ignored.
+	ignoreReach bool
 	// serviceTime is the mean service time over all targets, in seconds.
 	serviceTime float64
 }
 
-// usableSet is a set of usable targets with the sums over it.
+// usableSet is a set of usable targets and the sums over it.
 type usableSet struct {
 	entries  []*entry
 	load     int
 	capacity int
 }
 
-func (s *usableSet) mean() float64 {
+func (s *usableSet) meanUtilisation() float64 {
 	if s.capacity == 0 {
 		return 0
 	}
 	return float64(s.load) / float64(s.capacity)
 }
 
-// entry is the state of one target. Its pool's lock guards it.
+// entry is the state of one target, guarded by its pool's lock.
 type entry struct {
 	pool   *pool
 	target baobabstep.Target
 	group  int
-	// removed is set once the target is in no configuration.
+	// removed is set while the configuration in force lacks the target.
 	removed bool
-	// quarantined is set while the address may still be taken for another
-	// service's.
+	// quarantined is set while VMs may still take the address for that of
+	// another service's target.
 	quarantined bool
 
-	// flows and slots are held by this VM; others holds what peers told.
-	flows, slots int
-	others       []peerUpdate
-	othersFlows  int
-	// load is the estimate of open flows; it is part of the sums of the
-	// sets that list the entry.
+	// flows and slotsUsed are held by this VM; peerStates is what other VMs
+	// reported.
+	flows, slotsUsed int
+	peerStates       []peerState
+	peerFlows        int
+	// load is the estimated number of open flows. It is included in the sums of
+	// the sets that hold the entry.
 	load int
 	set  *usableSet
 
-	reported reported
-	leaving  [numSources]register
-	health   health
-	// since is when the target last became usable; the ramp starts there.
-	since  time.Time
-	usable bool
-	// lastSlot is the turn in which the target last got a request.
-	lastSlot uint64
-	// limit is the adaptive bound of slots in use.
-	limit float64
-	sent  sentUpdate
+	lastReport receivedReport
+	leaving    [numSources]leavingState
+	health     health
+	// rampStart is when the target last became usable.
+	rampStart time.Time
+	usable    bool
+	// lastSlotSequence is the pool's slotSequence when the target last got a
+	// request.
+	lastSlotSequence uint64
+	// adaptiveSlots is the adaptive limit of slots in use.
+	adaptiveSlots float64
+	sent          sentState
 }
 
-// reported is the last report of the target, own or from another prober.
-type reported struct {
+// receivedReport is the target's last report, to this VM or another prober.
+type receivedReport struct {
 	known       bool
 	connections int
-	// base is the own count when the report came: flows opened since then
-	// are not in it.
-	base int
+	// flowsAtReport is this VM's count when the report arrived; the report does
+	// not include flows opened since then.
+	flowsAtReport int
 }
 
 func newPool(r *Registry) *pool { return &pool{reg: r, dirty: true} }
 
-// configure takes over a service of a new configuration.
+// configure applies a service of a new configuration.
 func (p *pool) configure(now time.Time, c *baobabstep.Config, s *baobabstep.Service, old, next *index) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,14 +116,14 @@
 		t := &s.Targets[i]
 		e := old.targets[t.ID]
 		if e == nil || e.pool != p {
-			e = &entry{pool: p, limit: float64(t.Slots)}
+			e = &entry{pool: p, adaptiveSlots: float64(t.Slots)}
 			if old.config != nil {
-				e.since = now
+				e.rampStart = now
 			}
 		}
 		if e.removed {
 			e.removed = false
-			e.since = now
+			e.rampStart = now
 		}
 		e.target = *t
 		e.quarantined = quarantined(c, t.Address, s.ID)
@@ -130,13 +132,13 @@
 		next.list = append(next.list, e)
 		p.entries = append(p.entries, e)
 	}
-	p.dealGroups()
+	p.assignGroups()
 }
 
-// dealGroups deals the targets to groups in the order of their hashes, so that
-// all VMs deal alike and the groups differ by one target at most: a group with
-// less than its share of slots would shed while others have room.
-func (p *pool) dealGroups() {
+// assignGroups distributes the targets over groups in the order of their
+// hashes, so that all VMs agree and group sizes differ by at most one: a
+// smaller group would shed requests while others have room.
+func (p *pool) assignGroups() {
 	p.groups = make([][]*entry, Groups(len(p.entries)))
 	if len(p.groups) == 1 {
 		for _, e := range p.entries {
@@ -144,17 +146,17 @@
 		}
 		return
 	}
-	order := slices.Clone(p.entries)
-	slices.SortFunc(order, func(a, b *entry) int {
+	sorted := slices.Clone(p.entries)
+	slices.SortFunc(sorted, func(a, b *entry) int {
 		return cmp.Compare(mix(uint64(a.target.ID)), mix(uint64(b.target.ID)))
 	})
-	for i, e := range order {
+	for i, e := range sorted {
 		e.group = i % len(p.groups)
 	}
 }
 
-// quarantined tells whether a VM that acts on an older configuration may
-// still take the address for another service's.
+// quarantined tells whether a VM with an older configuration may still take the
+// address for that of another service's target.
 func quarantined(c *baobabstep.Config, address netip.AddrPort, service baobabstep.ServiceID) bool {
 	for i := range c.Quarantine {
 		q := &c.Quarantine[i]
@@ -165,67 +167,67 @@
 	return false
 }
 
-// refresh brings the sets of usable targets up to date. It costs a scan of the
-// pool, and only after a change.
+// refresh recomputes the sets of usable targets, by a scan of the pool, if
+// something changed.
 func (p *pool) refresh(now time.Time) {
-	if !p.dirty && (p.changeAt.IsZero() || now.Before(p.changeAt)) {
+	if !p.dirty && (p.refreshAt.IsZero() || now.Before(p.refreshAt)) {
 		return
 	}
 	p.dirty = false
-	p.changeAt = time.Time{}
-	p.blind = !p.anyInReach()
+	p.refreshAt = time.Time{}
+	p.ignoreReach = !p.anyReachable()
 	p.panicking = p.tooManyUnhealthy(now)
 	p.usable = usableSet{entries: p.usable.entries[:0]}
-	p.near = make(map[string]*usableSet)
+	p.byDataCentre = make(map[string]*usableSet)
 	for i := range p.groups {
 		p.groups[i] = p.groups[i][:0]
 	}
 	for _, e := range p.entries {
-		p.place(now, e)
+		p.updateUsable(now, e)
 	}
 }
 
-// tooManyUnhealthy tells whether the share of unhealthy targets is past what
-// the service allows: then the news is more likely wrong than the targets.
+// tooManyUnhealthy tells whether the share of unhealthy targets exceeds what
+// the service allows: the evidence is then more likely wrong than the targets.
 func (p *pool) tooManyUnhealthy(now time.Time) bool {
 	candidates, bad := 0, 0
 	for _, e := range p.entries {
-		if e.mayNotServe() || e.outOfReach() {
+		if e.excluded() || e.unreachable() {
 			continue
 		}
 		candidates++
-		if !e.health.good(now, e) {
+		if !e.health.healthy(now, e) {
 			bad++
 		}
-		p.changesAt(now, e.health.ejectedUntil)
+		p.scheduleRefresh(now, e.health.ejectedUntil)
 	}
 	return bad > 0 && float64(bad) > p.service.MaxEjectedShare*float64(candidates)
 }
 
-func (p *pool) anyInReach() bool {
+func (p *pool) anyReachable() bool {
 	for _, e := range p.entries {
-		if !e.mayNotServe() && (!e.reg().cutOff(e.target.DataCentre) || e.proved()) {
+		if !e.excluded() && (!e.reg().cutOff(e.target.DataCentre) || e.probedReachable()) {
 			return true
 		}
 	}
 	return false
 }
 
-// outOfReach tells whether the target's data centre is cut off and no probe
-// proves otherwise. A partition takes whole data centres at once, which must
-// not look like a failure of so many targets that health is ignored.
-func (e *entry) outOfReach() bool {
-	return !e.pool.blind && e.reg().cutOff(e.target.DataCentre) && !e.proved()
+// unreachable tells whether the target's data centre is cut off and no probe
+// shows otherwise. A partition cuts off whole data centres, which must not
+// count as so many failures that panic mode starts.
+func (e *entry) unreachable() bool {
+	return !e.pool.ignoreReach && e.reg().cutOff(e.target.DataCentre) && !e.probedReachable()
 }
 
-// proved tells whether a VM of another data centre reaches the target: where
-// a data centre has no VM, others probe its targets.
-func (e *entry) proved() bool {
+// probedReachable tells whether a current probe reached the target. VMs of
+// other data centres probe the targets of a data centre that has no VM.
+func (e *entry) probedReachable() bool {
 	if e.health.prober {
 		return e.health.goodProbes > 0 && e.health.missed == 0
 	}
-	for i := range e.others {
-		if e.others[i].up {
+	for i := range e.peerStates {
+		if e.peerStates[i].up {
 			return true
 		}
 	}
@@ -234,28 +236,28 @@
 
 func (e *entry) reg() *Registry { return e.pool.reg }
 
-func (p *pool) changesAt(now, t time.Time) {
-	if t.After(now) && (p.changeAt.IsZero() || t.Before(p.changeAt)) {
-		p.changeAt = t
+func (p *pool) scheduleRefresh(now, t time.Time) {
+	if t.After(now) && (p.refreshAt.IsZero() || t.Before(p.refreshAt)) {
+		p.refreshAt = t
 	}
 }
 
-func (p *pool) place(now time.Time, e *entry) {
-	usable := !e.mayNotServe() && !e.outOfReach() && (p.panicking || e.health.good(now, e))
-	if usable && !e.usable && e.wasKnown() {
-		e.since = now
+func (p *pool) updateUsable(now time.Time, e *entry) {
+	usable := !e.excluded() && !e.unreachable() && (p.panicking || e.health.healthy(now, e))
+	if usable && !e.usable && e.wasEvaluated() {
+		e.rampStart = now
 		e.health.answers = 0
 	}
 	e.usable = usable
-	e.health.seen = true
+	e.health.evaluated = true
 	e.set = nil
 	if !usable {
 		return
 	}
-	set := p.near[e.target.DataCentre]
+	set := p.byDataCentre[e.target.DataCentre]
 	if set == nil {
 		set = &usableSet{}
-		p.near[e.target.DataCentre] = set
+		p.byDataCentre[e.target.DataCentre] = set
 	}
 	e.set = set
 	set.add(e)
@@ -269,18 +271,19 @@
 	s.capacity += e.target.Connections
 }
 
-// mayNotServe tells whether the target is out for a reason other than health.
-func (e *entry) mayNotServe() bool { return e.removed || e.quarantined || e.isLeaving() }
+// excluded tells whether the target is out for a reason other than health.
+func (e *entry) excluded() bool { return e.removed || e.quarantined || e.isLeaving() }
 
-// wasKnown tells whether the target was placed before: one that is placed for
-// the first time starts its ramp in configure.
-func (e *entry) wasKnown() bool { return e.health.seen }
+// wasEvaluated tells whether updateUsable has seen the target before; for a new
+// one configure starts the ramp.
+func (e *entry) wasEvaluated() bool { return e.health.evaluated }
 
-// recount renews the estimate of open flows and the sums that contain it.
-func (e *entry) recount() {
-	load := e.flows + e.othersFlows
-	if e.reported.known {
-		load = max(load, e.reported.connections+max(0, e.flows-e.reported.base))
+// updateLoad recomputes the estimate of open flows and the sums that include
+// it.
+func (e *entry) updateLoad() {
+	load := e.flows + e.peerFlows
+	if e.lastReport.known {
+		load = max(load, e.lastReport.connections+max(0, e.flows-e.lastReport.flowsAtReport))
 	}
 	if e.set != nil {
 		e.set.load += load - e.load
--- a/core/target/probe.go
+++ b/core/target/probe.go
@@ -7,56 +7,56 @@
 	"baobabstep"
 )
 
-// assignment is one target that this VM probes.
-type assignment struct {
+// probeAssignment is one target that this VM probes.
+type probeAssignment struct {
 	entry *entry
-	next  time.Time
+	dueAt time.Time
 }
 
-// assignProbes works out which targets this VM probes: each is probed by the
+// assignProbes determines which targets this VM probes. Each is probed by the
 // first Probers VMs of its data centre by rendezvous hashing, or of the whole
-// view when its data centre has none. The caller holds r.mu.
+// view if its data centre has none. The caller holds r.mu.
 func (r *Registry) assignProbes(now time.Time) {
 	if r.view == nil {
 		return
 	}
-	old := make(map[*entry]time.Time, len(r.assignments))
-	for _, d := range r.assignments {
-		old[d.entry] = d.next
+	oldDue := make(map[*entry]time.Time, len(r.assignments))
+	for _, p := range r.assignments {
+		oldDue[p.entry] = p.dueAt
 	}
 	members := membersByDataCentre(r.view)
 	r.assignments = nil
 	for _, e := range r.index.Load().list {
-		mine := !e.removed && r.probes(members, e, e.target.ID)
+		assigned := !e.removed && r.isProber(members, e, e.target.ID)
 		e.pool.mu.Lock()
-		e.setProber(mine)
+		e.setProber(assigned)
 		e.pool.mu.Unlock()
-		if !mine {
+		if !assigned {
 			continue
 		}
-		next, ok := old[e]
+		next, ok := oldDue[e]
 		if !ok {
 			next = now.Add(r.jitter(r.opts.ProbeInterval))
 		}
-		r.assignments = append(r.assignments, assignment{entry: e, next: next})
+		r.assignments = append(r.assignments, probeAssignment{entry: e, dueAt: next})
 	}
-	slices.SortFunc(r.assignments, func(a, b assignment) int { return a.next.Compare(b.next) })
+	slices.SortFunc(r.assignments, func(a, b probeAssignment) int { return a.dueAt.Compare(b.dueAt) })
 }
 
-// setProber drops findings of a assignment that ended.
-func (e *entry) setProber(mine bool) {
+// setProber resets the probe results when an assignment begins or ends.
+func (e *entry) setProber(assigned bool) {
 	h := &e.health
-	if h.prober != mine {
-		// Probes of an earlier assignment prove nothing.
+	if h.prober != assigned {
+		// Probes of an earlier assignment are outdated.
 		h.goodProbes = 0
 		e.pool.dirty = true
 	}
-	if h.prober && !mine {
+	if h.prober && !assigned {
 		h.missed = 0
 		h.probePending = false
 		e.setDown(false)
 	}
-	h.prober = mine
+	h.prober = assigned
 }
 
 func membersByDataCentre(v *baobabstep.View) map[string][]baobabstep.VMID {
@@ -69,7 +69,7 @@
 	return m
 }
 
-func (r *Registry) probes(members map[string][]baobabstep.VMID, e *entry, id baobabstep.TargetID) bool {
+func (r *Registry) isProber(members map[string][]baobabstep.VMID, e *entry, id baobabstep.TargetID) bool {
 	vms := members[e.target.DataCentre]
 	if len(vms) == 0 {
 		vms = members[""]
@@ -77,43 +77,43 @@
 	if !slices.Contains(vms, r.opts.Self) {
 		return false
 	}
-	own := rank(r.opts.Self, id)
-	above := 0
+	ownScore := proberScore(r.opts.Self, id)
+	higher := 0
 	for _, vm := range vms {
-		if rank(vm, id) > own {
-			above++
+		if proberScore(vm, id) > ownScore {
+			higher++
 		}
 	}
-	return above < r.opts.Probers
+	return higher < r.opts.Probers
 }
 
-func rank(vm baobabstep.VMID, id baobabstep.TargetID) uint64 {
+func proberScore(vm baobabstep.VMID, id baobabstep.TargetID) uint64 {
 	return mix(mix(uint64(vm)) ^ uint64(id))
 }
 
-// jitter returns a random time below d. The caller holds r.mu.
+// jitter returns a random duration below d. The caller holds r.mu.
 func (r *Registry) jitter(d time.Duration) time.Duration {
 	return time.Duration(r.opts.Rand.Int64N(int64(d)))
 }
 
-// ProbeTargets returns the targets to probe now. A probe that was not answered
-// when the next one is due counts as missed.
+// ProbeTargets returns the targets to probe now. A probe without an answer by
+// the time the next one is due counts as missed.
 func (r *Registry) ProbeTargets(now time.Time) []baobabstep.TargetID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var due []baobabstep.TargetID
 	for i := range r.assignments {
-		d := &r.assignments[i]
-		if now.Before(d.next) {
+		a := &r.assignments[i]
+		if now.Before(a.dueAt) {
 			continue
 		}
-		d.next = now.Add(r.opts.ProbeInterval*3/4 + r.jitter(r.opts.ProbeInterval/2))
-		due = append(due, r.probe(d.entry))
+		a.dueAt = now.Add(r.opts.ProbeInterval*3/4 + r.jitter(r.opts.ProbeInterval/2))
+		due = append(due, r.startProbe(a.entry))
 	}
 	return due
 }
 
-func (r *Registry) probe(e *entry) baobabstep.TargetID {
+func (r *Registry) startProbe(e *entry) baobabstep.TargetID {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
 	h := &e.health
--- a/core/target/size_bench_test.go
+++ b/core/target/size_bench_test.go
@@ -10,8 +10,8 @@
 	"baobabstep"
 )
 
-// benchServiceTargets is the number of targets of one service in benchmarks; 26,000
-// hosts behind 6,200 addresses are about four.
+// benchServiceTargets is the number of targets per service: 26,000 hosts behind
+// 6,200 addresses are about four.
 const benchServiceTargets = 4
 
 // benchConfig returns a configuration with n targets.
@@ -52,7 +52,7 @@
 
 var benchSizes = []int{100, 1000, 5000, 13000, 26000}
 
-// BenchmarkPickFlowBySize must not depend on the number of targets of all services.
+// BenchmarkPickFlowBySize must not depend on the total number of targets.
 func BenchmarkPickFlowBySize(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -73,12 +73,12 @@
 	}
 }
 
-// newsFlows is the number of flows opened between two messages in benchmarks:
-// 230,000 a second over 2,300 VMs are 50 in half a second.
+// newsFlows is the number of flows opened between two messages: 230,000 per
+// second over 2,300 VMs are 50 in half a second.
 const newsFlows = 50
 
-// BenchmarkNewsBySize measures one message of at most 1,200 bytes: making it at one VM
-// and learning it at another.
+// BenchmarkNewsBySize measures encoding one message of at most 1,200 bytes at
+// one VM and applying it at another.
 func BenchmarkNewsBySize(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// BenchmarkProbesBySize measures one second of a prober: finding the probes that are
-// due and taking in the reports.
+// BenchmarkProbesBySize measures one second of a prober: finding the due probes
+// and applying the reports.
 func BenchmarkProbesBySize(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// BenchmarkSetConfigBySize measures the change of one configuration for the next.
+// BenchmarkSetConfigBySize measures the replacement of a configuration.
 func BenchmarkSetConfigBySize(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/core/target/state.go
+++ b/core/target/state.go
@@ -8,19 +8,19 @@
 	"baobabstep"
 )
 
-// State is the belief about one target, for status and explanations.
+// State is the state of one target, for status pages and explanations.
 type State struct {
 	Target     baobabstep.TargetID  `json:"target"`
 	Name       string               `json:"name"`
 	Service    baobabstep.ServiceID `json:"service"`
 	DataCentre string               `json:"data_centre"`
-	// Usable says that the target may get new work; Reason says why not.
+	// Usable says whether the target may get new work; Reason says why not.
 	Usable bool   `json:"usable"`
 	Reason string `json:"reason,omitempty"`
-	// Weight is below 1 in the ramp after the target joined or returned.
+	// Weight is below 1 during the ramp after the target joined or returned.
 	Weight float64 `json:"weight"`
 	Flows  int     `json:"flows"`
-	// Load is the estimate of open flows over all VMs.
+	// Load is the estimated number of open flows over all VMs.
 	Load        int           `json:"load"`
 	Slots       int           `json:"slots"`
 	SlotLimit   int           `json:"slot_limit"`
@@ -29,7 +29,7 @@
 	Panicking bool `json:"panicking"`
 }
 
-// Table returns the belief about all targets, sorted by name.
+// Table returns the state of all targets, sorted by name.
 func (r *Registry) Table(now time.Time) []State {
 	x := r.index.Load()
 	states := make([]State, 0, len(x.targets))
@@ -52,18 +52,18 @@
 		Service:     e.target.Service,
 		DataCentre:  e.target.DataCentre,
 		Usable:      e.usable,
-		Reason:      e.reason(now),
-		Weight:      e.weight(now),
+		Reason:      e.unusableReason(now),
+		Weight:      e.rampWeight(now),
 		Flows:       e.flows,
 		Load:        e.load,
-		Slots:       e.slots,
+		Slots:       e.slotsUsed,
 		SlotLimit:   e.slotLimit(now),
 		ServiceTime: time.Duration(e.health.serviceTime * float64(time.Second)),
 		Panicking:   e.pool.panicking,
 	}
 }
 
-func (e *entry) reason(now time.Time) string {
+func (e *entry) unusableReason(now time.Time) string {
 	switch {
 	case e.removed:
 		return "removed"
@@ -77,9 +77,9 @@
 		return "leaving by its own report"
 	case now.Before(e.health.ejectedUntil):
 		return "ejected for failing work"
-	case !e.health.good(now, e):
+	case !e.health.healthy(now, e):
 		return "down by probes"
-	case e.health.holding(now):
+	case e.health.paused(now):
 		return "refused work for lack of room"
 	default:
 		return ""
--- a/core/target/target.go
+++ b/core/target/target.go
@@ -1,33 +1,32 @@
-// Package target holds what one VM believes of each target and chooses
-// targets for new work.
+// Package target tracks the health and load of every target as seen by one VM,
+// and picks targets for new work.
 //
 // # The model
 //
-// A belief is made of evidence of three ranks. Outcomes of real work come
-// first: a target whose answers fail is ejected whatever it says of itself.
-// Own probes, and those of the other probers, come second: each target is
-// probed by three VMs of its data centre. What a target reports of its load
-// comes last, since reports lag and may be wrong: a report can only make a
-// target look busier than the counts say, never idler.
+// Three kinds of evidence decide whether a target may get work. Outcomes of
+// real work come first: a target whose answers fail is ejected, whatever it
+// reports. Health probes come second; three VMs of its data centre probe each
+// target. The load that a target reports comes last, since reports lag and may
+// be wrong: a report can raise the load estimate above the counts, never lower
+// it.
 //
-// News that a target is leaving comes from three sources (its own report, the
-// platform's list, an operator). Any one of them is enough to stop new work at
-// once, and each source has to take back its own update.
+// A target is leaving if any of three sources says so: its own report, the
+// platform's list or an operator. Each source has to withdraw its own update.
 //
 // # Counts
 //
-// Each VM counts the flows that it holds on each target and tells the other
-// VMs ([Registry.News], [Registry.Learn]). The load of a target is the worst
-// of (own count + counts of the others) and (last report + own flows opened
-// since). Both sums lag, so no choice is made by taking the least loaded of
-// all: two targets are drawn at random and the less loaded one is taken,
-// which bounds what one target attracts to a multiple of its even share,
-// however idle it looks.
+// Each VM counts the flows that it holds on each target and gossips the counts
+// to the other VMs ([Registry.News], [Registry.Learn]).
+// The load of a target is the larger of (own count + counts of the others) and
+// (last report + own flows opened since). Both sums lag, so the least loaded
+// target of all is never chosen: of two targets drawn at random the less loaded
+// one is taken. That limits a target to a small multiple of its even share of
+// new flows, however idle it looks.
 //
 // # Concurrency
 //
-// The targets of one service form a pool under its own lock. Nothing scans
-// the targets of all services but a change of configuration or view.
+// The targets of one service form a pool under its own lock. Only a change of
+// configuration or view scans the targets of all services.
 package target
 
 import (
@@ -41,12 +40,12 @@
 	"baobabstep"
 )
 
-// Source is who said that a target is leaving.
+// Source identifies who reported that a target is leaving.
 type Source uint8
 
-// Sources of news about leaving targets.
+// Sources of leaving updates.
 const (
-	// SourceTarget is the target's own word, in a report or a refusal.
+	// SourceTarget is the target itself, by a report or a refusal.
 	SourceTarget Source = iota
 	// SourcePlatform is the platform's list.
 	SourcePlatform
@@ -59,34 +58,37 @@
 type Options struct {
 	Self       baobabstep.VMID
 	DataCentre string
-	// Rand spreads probes and ejections in time. It is required, and used
-	// under a lock of the registry alone.
+	// Rand spreads probes over time. It is required, and is used only under the
+	// registry's lock.
 	Rand *rand.Rand
-	// Invariant, when set, is called for each broken invariant, after it
-	// was counted.
+	// Invariant, if set, is called for each invariant violation, after it was
+	// counted.
 	Invariant func(name, detail string)
 
-	// ProbeInterval is the mean time between two probes of one target by
-	// one VM: 1 s.
+	// ProbeInterval is the mean time between two probes of one target by one
+	// VM; default 1 s.
 	ProbeInterval time.Duration
-	// ProbeMisses is the number of unanswered probes in a row after which
-	// this VM holds a target for down: 3.
+	// ProbeMisses is the number of consecutive unanswered probes after which
+	// this VM considers a target down; default 3.
 	ProbeMisses int
-	// Probers is the number of VMs that probe each target: 3.
+	// Probers is the number of VMs that probe each target; default 3.
 	Probers int
-	// ReturnProbes is the number of good probes in a row after which a
-	// target that was down or leaving by its own report may return: 3.
+	// ReturnProbes is the number of consecutive good probes after which a
+	// target that was down, or leaving by its own report, may get work again;
+	// default 3.
 	ReturnProbes int
-	// SlowStart is the length of the ramp of a joined or returned target: 10 s.
+	// SlowStart is the length of the ramp of a new or returned target; default
+	// 10 s.
 	SlowStart time.Duration
-	// EjectFailures is the number of failures in a row that eject: 5.
+	// EjectFailures is the number of consecutive failures that eject; default
+	// 5.
 	EjectFailures int
-	// EjectTime is the length of the first ejection: 2 s. It doubles with
-	// each further one, up to MaxEjectTime: 60 s.
+	// EjectTime is the length of the first ejection, default 2 s. It doubles
+	// with each further one, up to MaxEjectTime, default 60 s.
 	EjectTime, MaxEjectTime time.Duration
-	// NearMargin is how far the mean load of the near data centre may be
-	// above the mean of the service before work spills over: 0.02 of the
-	// mean.
+	// NearMargin is how far the mean load of the near data centre may exceed
+	// that of the service before work spills over, as a share of the mean;
+	// default 0.02.
 	NearMargin float64
 }
 
@@ -102,41 +104,42 @@
 	o.NearMargin = cmp.Or(o.NearMargin, 0.02)
 }
 
-// Registry is the belief of one VM. It is safe for concurrent use.
+// Registry holds the state of all targets as seen by one VM. It is safe for
+// concurrent use.
 type Registry struct {
 	opts  Options
 	index atomic.Pointer[index]
-	// reached are the data centres with a VM in the view; nil before the
-	// first view.
-	reached atomic.Pointer[map[string]bool]
+	// reachable is the set of data centres with a VM in the view; nil before
+	// the first view.
+	reachable atomic.Pointer[map[string]bool]
 
-	// mu guards what follows and is held over SetConfig and SetView. It is
+	// mu guards the fields below and is held over SetConfig and SetView. It is
 	// taken before any lock of a pool.
 	mu          sync.Mutex
 	view        *baobabstep.View
-	assignments []assignment
-	news        outgoing
-	// epochs holds the incarnation under which each VM's updates were learned.
+	assignments []probeAssignment
+	gossip      gossipState
+	// epochs holds the incarnation under which each VM's updates were received.
 	epochs map[baobabstep.VMID]uint64
-	// answeredAt is when the last answer to Ask came.
+	// answeredAt is when the last answer to a leaving query arrived.
 	answeredAt time.Time
 
 	broken atomic.Uint64
 }
 
-// index finds pools and targets. It is immutable.
+// index looks up pools and targets. It is immutable.
 type index struct {
 	config  *baobabstep.Config
 	pools   map[baobabstep.ServiceID]*pool
 	targets map[baobabstep.TargetID]*entry
-	// list has the same targets in a fixed order, so that runs with the same
-	// random numbers are alike.
+	// list holds the same targets in a fixed order, so that runs with the same
+	// seed are reproducible.
 	list []*entry
 }
 
 var _ baobabstep.Chooser = (*Registry)(nil)
 
-// New returns a registry that knows no target until SetConfig.
+// New returns a registry without targets; SetConfig adds them.
 func New(_ time.Time, o Options) *Registry {
 	o.setDefaults()
 	r := &Registry{opts: o, epochs: make(map[baobabstep.VMID]uint64)}
@@ -144,19 +147,19 @@
 	return r
 }
 
-// Broken returns how often an invariant was found broken.
+// Broken returns the number of invariant violations so far.
 func (r *Registry) Broken() uint64 { return r.broken.Load() }
 
-func (r *Registry) breaks(name, detail string) {
+func (r *Registry) invariantBroken(name, detail string) {
 	r.broken.Add(1)
 	if r.opts.Invariant != nil {
 		r.opts.Invariant(name, detail)
 	}
 }
 
-// SetConfig puts a configuration into force. Targets that were there before
-// keep their state; new ones start with a slow start ramp, unless this is the
-// first configuration, in which nothing is newer than anything else.
+// SetConfig applies a configuration. Targets that it had before keep their
+// state; new ones begin a slow-start ramp, except under the first
+// configuration, where all targets are equally new.
 func (r *Registry) SetConfig(now time.Time, c *baobabstep.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,7 +194,7 @@
 		e.pool.mu.Lock()
 		e.removed = true
 		e.pool.dirty = true
-		if e.flows > 0 || e.slots > 0 {
+		if e.flows > 0 || e.slotsUsed > 0 {
 			next.targets[id] = e
 			next.list = append(next.list, e)
 		}
@@ -199,47 +202,47 @@
 	}
 }
 
-// SetView tells who is in the region: it decides who probes what, and whose
-// updates count. Updates of VMs that left the view are dropped.
+// SetView applies a new view. It reassigns probes and drops the updates of VMs
+// that left.
 func (r *Registry) SetView(now time.Time, v *baobabstep.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.view
 	r.view = v
-	r.setReached(v)
+	r.setReachable(v)
 	r.assignProbes(now)
-	for _, vm := range goneMembers(old, v) {
+	for _, vm := range departedMembers(old, v) {
 		delete(r.epochs, vm)
 		r.forgetPeer(vm)
 	}
-	if old != nil && len(goneMembers(v, old)) > 0 {
+	if old != nil && len(departedMembers(v, old)) > 0 {
 		r.repeatLeaving()
 	}
 	r.setEpoch(v)
 }
 
-// repeatLeaving tells once more which targets are leaving. A VM that has just
-// joined missed the updates, and as dispatcher it would hand new work to a target
-// that has been draining for seconds, until its own probes or the slow rotation
-// of news told it.
+// repeatLeaving schedules all active leaving updates to be sent again. A VM
+// that has just joined missed them; as dispatcher it would send new work to a
+// draining target for seconds, until its own probes or the slow rotation of
+// gossip reached it.
 func (r *Registry) repeatLeaving() {
 	for _, e := range r.index.Load().targets {
 		e.pool.mu.Lock()
 		for s := range e.leaving {
 			if e.leaving[s].leaving {
-				e.leaving[s].spread = updateSpread
+				e.leaving[s].sendsLeft = leavingSends
 			}
 		}
 		e.pool.mu.Unlock()
 	}
 }
 
-func (r *Registry) setReached(v *baobabstep.View) {
+func (r *Registry) setReachable(v *baobabstep.View) {
 	reached := make(map[string]bool)
 	for i := range v.Members {
 		reached[v.Members[i].DataCentre] = true
 	}
-	old := r.reached.Swap(&reached)
+	old := r.reachable.Swap(&reached)
 	if old != nil && maps.Equal(*old, reached) {
 		return
 	}
@@ -250,28 +253,28 @@
 	}
 }
 
-// cutOff tells whether a data centre has no VM in the view: it may be on the
-// other side of a partition, and then its targets are out of reach too.
+// cutOff tells whether a data centre has no VM in the view. It may be across a
+// partition, and then its targets are unreachable too.
 func (r *Registry) cutOff(dataCentre string) bool {
-	reached := r.reached.Load()
+	reached := r.reachable.Load()
 	return reached != nil && len(*reached) > 0 && !(*reached)[dataCentre]
 }
 
-func goneMembers(old, now *baobabstep.View) []baobabstep.VMID {
+func departedMembers(old, current *baobabstep.View) []baobabstep.VMID {
 	if old == nil {
 		return nil
 	}
-	there := make(map[baobabstep.VMID]bool, len(now.Members))
-	for i := range now.Members {
-		there[now.Members[i].ID] = true
+	present := make(map[baobabstep.VMID]bool, len(current.Members))
+	for i := range current.Members {
+		present[current.Members[i].ID] = true
 	}
-	var gone []baobabstep.VMID
+	var departed []baobabstep.VMID
 	for i := range old.Members {
-		if id := old.Members[i].ID; !there[id] {
-			gone = append(gone, id)
+		if id := old.Members[i].ID; !present[id] {
+			departed = append(departed, id)
 		}
 	}
-	return gone
+	return departed
 }
 
 // forgetPeer drops the updates of a VM from all targets.
@@ -283,5 +286,5 @@
 	}
 }
 
-// entryOf returns the state of a target, or nil if it is not known.
+// entryOf returns the state of a target, or nil if it is unknown.
 func (r *Registry) entryOf(id baobabstep.TargetID) *entry { return r.index.Load().targets[id] }
--- a/core/target/target_test.go
+++ b/core/target/target_test.go
@@ -16,7 +16,7 @@
 
 const dataCentre = "braga-a"
 
-// testService returns a service with n targets in the given data centres in
+// testService returns a service with n targets, spread over the data centres in
 // turn.
 func testService(n int, dataCentres ...string) baobabstep.Service {
 	s := baobabstep.Service{
@@ -57,7 +57,7 @@
 
 func vmID(i int) baobabstep.VMID { return baobabstep.MakeVMID(fmt.Sprintf("vm-%d", i)) }
 
-// newRegistry returns a registry whose broken invariants fail the test.
+// newRegistry returns a registry whose invariant violations fail the test.
 func newRegistry(t testing.TB, self int) *Registry {
 	return New(epoch, Options{
 		Self:       vmID(self),
@@ -67,7 +67,7 @@
 	})
 }
 
-// pickable returns which of the service's targets get any of 400 flows.
+// pickable returns how many of 400 flows each of the service's targets gets.
 func pickable(r *Registry, now time.Time, s *baobabstep.Service) map[baobabstep.TargetID]int {
 	got := make(map[baobabstep.TargetID]int)
 	for draw := range uint64(400) {
@@ -123,7 +123,7 @@
 	qt.Assert(t, code, qt.Equals, baobabstep.CodeNoCapacity)
 }
 
-func TestNewsTellsLeavingTargetsAndCounts(t *testing.T) {
+func TestGossipCarriesLeavingTargetsAndCounts(t *testing.T) {
 	s := testService(5, dataCentre)
 	a, b := newRegistry(t, 0), newRegistry(t, 1)
 	for _, r := range []*Registry{a, b} {
@@ -137,7 +137,7 @@
 	}
 	news := a.News(epoch, 1000)
 	for range 2 { // Doubled messages count once.
-		learn(t, b, epoch, vmID(0), news)
+		handleGossip(t, b, epoch, vmID(0), news)
 	}
 	total := 0
 	for _, state := range b.Table(epoch) {
@@ -151,14 +151,14 @@
 	}
 }
 
-func learn(t testing.TB, r *Registry, now time.Time, from baobabstep.VMID, news []byte) {
+func handleGossip(t testing.TB, r *Registry, now time.Time, from baobabstep.VMID, news []byte) {
 	t.Helper()
 	reply, err := r.Learn(now, from, news)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, reply, qt.IsNil)
 }
 
-func learnCode(r *Registry, now time.Time, from baobabstep.VMID, news []byte) baobabstep.Code {
+func handleGossipCode(r *Registry, now time.Time, from baobabstep.VMID, news []byte) baobabstep.Code {
 	_, err := r.Learn(now, from, news)
 	return baobabstep.CodeOf(err)
 }
--- a/doc.go
+++ b/doc.go
@@ -1,33 +1,33 @@
-// Package baobabstep holds the words that every part of the load balancer
-// shares: identifiers, packets, the configuration in force, the view of the
-// fleet, result codes, and the ports through which decisions meet the world.
-// It does no I/O and starts no goroutine.
+// Package baobabstep defines the types that all parts of the load balancer
+// share: identifiers, packets, the configuration, the view of the fleet, result
+// codes, and the interfaces to the network and the platform. It does no I/O and
+// starts no goroutine.
 //
 // # The model
 //
 // Callers reach a service at a service address. A fabric in front of the fleet
-// hands each packet to any VM of the region; two packets of one flow rarely
-// reach the same VM. The VM that a packet reaches is its entry VM.
+// sends each packet to any VM of the region, so two packets of one flow rarely
+// reach the same VM. The VM that receives a packet is its entry VM.
 //
 //	caller -> fabric -> entry VM -> holder -> target
 //	                                  \-> second copy (first packet only)
 //
-// Work comes in two shapes. A flow is a long-lived exchange between a caller
-// and one target; it fills one of the target's connections. A request is one
-// question with one answer; it fills one of the target's slots. Both are
-// found again by key: a keyed hash of (caller, service address, number) names
-// a slot, and a [View] of the live VMs maps each slot to two VMs, the holder
-// and the second copy. No VM is set aside: every role follows from the key
-// and the view.
+// There are two kinds of work. A flow is a long-lived exchange between a caller
+// and one target; it occupies one of the target's connections. A request is one
+// question with one answer; it occupies one of the target's slots. Both are
+// looked up by key: a keyed hash of (caller, service address, number) selects a
+// slot, and a [View] of the live VMs maps each slot to two VMs, the holder and
+// the second copy. No VM is dedicated to a role: roles follow from the key and
+// the view.
 //
-// Two views differ whenever the fleet changes, so nothing may depend on a role
-// being held exactly once. Each decision is made so that it stays safe while
-// two VMs hold a role, or none does.
+// Views differ between VMs whenever the fleet changes, so a role may be held by
+// two VMs, or by none, for a while. Every decision has to be safe in both
+// cases.
 //
 // # Layout
 //
 // Packages below core decide: they are pure, take the present time as an
-// argument, and return what should be sent. Packages below io are adapters to
-// sockets, the platform and files. Package node wires the two together.
-// The place to start reading is packet.go, then ports.go.
+// argument, and return what to send. Packages below io are adapters to sockets,
+// the platform and files. Package node connects the two. Start reading at
+// packet.go, then port.go.
 package baobabstep
--- a/docs_test.go
+++ b/docs_test.go
@@ -14,9 +14,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// repositoryFiles returns the files with one of the endings, by their paths
-// from the repository's root. Folders of tools and of version control are not
-// looked into.
+// repositoryFiles returns the paths, relative to the repository's root, of
+// files with the given ending. Folders of binaries and version control are
+// skipped.
 func repositoryFiles(t *testing.T, ending string) []string {
 	t.Helper()
 	var files []string
@@ -47,8 +47,8 @@
 
 var markdownLink = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 
-// A page was moved or renamed and a link to it was forgotten: the reader lands
-// nowhere. Links to other hosts are not followed.
+// A link to a page that was moved or renamed is broken. Links to other hosts
+// are not checked.
 func TestLinksResolve(t *testing.T) {
 	for _, page := range repositoryFiles(t, ".md") {
 		for _, link := range markdownLink.FindAllStringSubmatch(read(t, page), -1) {
@@ -62,7 +62,8 @@
 	}
 }
 
-// citedTest matches a package's folder and a test of it, as `core/flow.TestX`.
+// citedTest matches a package's folder and a test in it, as `core/flow.TestX`;
+// bareTest matches a test without its package.
 var (
 	citedTest = regexp.MustCompile("`([a-z/]+)\\.((?:Test|Fuzz|Benchmark)\\w+)`")
 	bareTest  = regexp.MustCompile("`((?:Test|Fuzz|Benchmark)[A-Z]\\w+)`")
@@ -85,8 +86,8 @@
 	return functions
 }
 
-// A test was renamed or deleted and a page goes on citing it as proof. The
-// pages of the proof give the package too, since names repeat.
+// A page cites a test that was renamed or deleted. PROOF.md has to give the
+// package too, since test names repeat.
 func TestCitedTestsExist(t *testing.T) {
 	functions := testFunctions(t)
 	for _, page := range repositoryFiles(t, ".md") {
@@ -105,14 +106,15 @@
 	}
 }
 
-// citedLog matches a log line's message as the operators' pages give it.
+// citedLog matches a log line's message as pages quote it; citedMetric matches
+// a metric's name.
 var (
 	citedLog    = regexp.MustCompile(`"message": ?"([^"]+)"`)
 	citedMetric = regexp.MustCompile(`\bbaobabstep_\w+`)
 )
 
-// An operator searches the logs for a message, or sets an alert on a metric,
-// that the program does not have: the alert never fires.
+// A page names a log message or metric that the program does not have, so that
+// an operator's search or alert never matches.
 func TestCitedLogsAndMetricsExist(t *testing.T) {
 	var code strings.Builder
 	for _, path := range repositoryFiles(t, ".go") {
@@ -120,13 +122,13 @@
 			code.WriteString(read(t, path))
 		}
 	}
-	// Compared with the code by tests of node and entry.
+	// Tests of node and entry compare these pages with the code.
 	metrics := read(t, "docs/METRICS.md") + read(t, "docs/METRICS-TOKEN.md")
 	for _, page := range repositoryFiles(t, ".md") {
 		text := read(t, page)
 		for _, cited := range citedLog.FindAllStringSubmatch(text, -1) {
-			// Decisions are logged under the names of their kinds, which the
-			// enum gives as line comments.
+			// Decisions are logged by their kinds' names, given as the line
+			// comments of the enum.
 			written := strings.Contains(code.String(), `("`+cited[1]+`")`) || strings.Contains(code.String(), " // "+cited[1]+"\n")
 			qt.Check(t, written, qt.IsTrue, qt.Commentf("%s cites the log line %q", page, cited[1]))
 		}
--- a/id.go
+++ b/id.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// VMID identifies one VM: the xxhash of its configured name. It stays the same
-// over restarts; [VM.Incarnation] tells restarts apart.
+// VMID identifies one VM: the xxhash of its configured name. It is stable
+// across restarts; [VM.Incarnation] distinguishes them.
 type VMID uint64
 
 // TargetID identifies one target: the xxhash of its configured name. Names are
-// unique over the whole configuration, and validation refuses colliding hashes.
+// unique within a configuration, and validation rejects colliding hashes.
 type TargetID uint64
 
 // ServiceID identifies one service: the xxhash of "account/service".
@@ -29,22 +29,22 @@
 	return ServiceID(xxhash.Sum64String(account + "/" + service))
 }
 
-// FlowKey names one flow or request stream as its caller sees it.
+// FlowKey identifies one flow or request as its caller sees it.
 type FlowKey struct {
 	// Caller is the address that answers go to.
 	Caller netip.AddrPort
 	// Service is the service address that the caller used.
 	Service netip.AddrPort
-	// Number is chosen by the caller; it differs between its flows and
-	// between its requests, and is never used again within an hour.
+	// Number is chosen by the caller. It is unique among the caller's flows and
+	// requests and is not reused within an hour.
 	Number uint64
 }
 
-// String returns the key in the form used by logs.
+// String returns the form used in logs.
 func (k FlowKey) String() string {
 	return fmt.Sprintf("%v>%v#%x", k.Caller, k.Service, k.Number)
 }
 
-// KeyHash is the keyed 128-bit hash of a [FlowKey]. The key of the hash is a
-// secret of the configuration, so that callers cannot aim collisions.
+// KeyHash is the keyed 128-bit hash of a [FlowKey]. Its key is a secret of the
+// configuration, so that callers cannot provoke collisions.
 type KeyHash [16]byte
--- a/packet.go
+++ b/packet.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// Kind tells what a packet is for.
+// Kind is the type of a packet.
 type Kind uint8
 
-// Kinds of packets. Those between callers, VMs and targets come first; the
-// health kinds pass between VMs and targets only.
+// Kinds of packets. The health kinds are used between VMs and targets only, the
+// others between callers, VMs and targets.
 const (
 	KindInvalid Kind = iota
-	// KindOpen asks for a new flow. The caller repeats it until KindOpened.
+	// KindOpen asks for a new flow. The caller repeats it until KindOpened
+	// arrives.
 	KindOpen
-	// KindOpened is a target's word that it holds the flow.
+	// KindOpened confirms that the target accepted the flow.
 	KindOpened
 	// KindData carries payload in either direction of a flow.
 	KindData
-	// KindClose ends a flow in good order, from either end.
+	// KindClose ends a flow gracefully, from either end.
 	KindClose
-	// KindReset ends a flow at once; Code says why.
+	// KindReset aborts a flow; Code says why.
 	KindReset
 	// KindProbe asks whether the receiver still knows the flow.
 	KindProbe
-	// KindProbeAck answers KindProbe and echoes its Seq, by which the entry
-	// VM finds the VM that asked.
+	// KindProbeAck answers KindProbe and echoes its Seq, from which the entry
+	// VM finds the VM that sent the probe.
 	KindProbeAck
 	// KindRequest carries one request.
 	KindRequest
@@ -33,7 +34,7 @@
 	KindAnswer
 	// KindRefusal ends a request without an answer; Code says why.
 	KindRefusal
-	// KindCancel withdraws a request or one attempt of it.
+	// KindCancel cancels a request or one attempt of it.
 	KindCancel
 	// KindHealth asks a target for its report.
 	KindHealth
@@ -50,7 +51,7 @@
 	ClassOrdinary
 )
 
-// Purpose tells why one VM sent a packet to another.
+// Purpose says why one VM sent a packet to another.
 type Purpose uint8
 
 // Purposes of packets between VMs.
@@ -60,10 +61,10 @@
 	// PurposeForward asks the receiver to act as holder.
 	PurposeForward
 	// PurposeReplicate asks the receiver to store Route.Record and then to
-	// send the packet on to the record's target.
+	// forward the packet to the record's target.
 	PurposeReplicate
-	// PurposeLearn asks the receiver to store Route.Record; the packet
-	// itself goes nowhere.
+	// PurposeLearn asks the receiver to store Route.Record; the packet is not
+	// forwarded.
 	PurposeLearn
 	// PurposeForget says that the flow or request has ended.
 	PurposeForget
@@ -71,42 +72,44 @@
 	PurposeStored
 )
 
-// MaxTried bounds the VMs that a packet may visit in search of its record.
+// MaxTried is the maximum number of VMs a packet visits in search of its
+// record.
 const MaxTried = 6
 
-// Packet is one packet of the data path, whatever wire carried it.
+// Packet is one packet of the data path, independent of the transport.
 //
-// A packet is valid only until the handler that received it returns: Payload
-// points into the read buffer. A part that keeps a packet copies it.
+// A packet is valid only until the handler that received it returns, since
+// Payload points into the read buffer. Code that keeps a packet has to copy it.
 type Packet struct {
 	Kind Kind
-	// FromTarget tells the direction: set on packets that a target sent.
+	// FromTarget is the direction: set on packets sent by a target.
 	FromTarget bool
 	Flow       FlowKey
 	// Seq numbers the sender's packets within the flow; for KindRequest it
 	// counts the caller's transmissions of the same request from 0.
 	Seq uint32
-	// Service and Target are set by VMs and echoed by targets. A target
-	// refuses a packet whose Service or Target is not its own.
+	// Service and Target are set by VMs and echoed by targets. A target refuses
+	// a packet for another service or target.
 	Service ServiceID
 	Target  TargetID
-	// Version is the configuration version the packet was routed under.
+	// Version is the configuration version that the packet was routed by.
 	Version uint64
 
-	// Attempt numbers the hand-overs of one request to targets, from 1.
+	// Attempt numbers the attempts to send one request to a target, from 1.
 	Attempt uint16
 	Class   Class
 	// Idempotent says that the request may run more than once.
 	Idempotent bool
-	// Timeout is the time left for the request, shortened on the way. It is
-	// relative, so that the clocks of two machines need not agree.
+	// Timeout is the time left for the request, reduced at each hop. It is
+	// relative, so that clocks need not be synchronised.
 	Timeout time.Duration
-	// Part and Parts number the pieces of a large answer: Part from 0.
+	// Part is the index of a piece of a large answer, from 0; Parts is the
+	// number of pieces.
 	Part, Parts uint16
 
-	// Code says why a reset or refusal was sent.
+	// Code is the reason of a reset or refusal.
 	Code Code
-	// RetryAfter tells a refused caller when to come back.
+	// RetryAfter tells a refused caller how long to wait before a retry.
 	RetryAfter time.Duration
 	Report     TargetReport
 	Payload    []byte
@@ -119,37 +122,38 @@
 type Route struct {
 	Purpose Purpose
 	From    VMID
-	// Exhausted says that every VM that could know the record was asked.
+	// Exhausted says that all VMs that could have the record were asked.
 	Exhausted bool
-	// Tried lists the VMs that had no record; NTried counts them.
+	// Tried lists the VMs that had no record; NTried is their number.
 	NTried uint8
 	Tried  [MaxTried]VMID
 	// Record is present if Record.Target is not zero.
 	Record Record
 }
 
-// Record is the state of one flow or attempt that travels between VMs.
+// Record is the state of one flow or attempt, as exchanged between VMs.
 type Record struct {
 	Target  TargetID
 	Service ServiceID
-	// Address is the target's, for a VM that started after the target left
-	// the configuration. It is the zero value if the sender does not know.
+	// Address is the target's address, for VMs that started after the target
+	// left the configuration. It is the zero value if the sender does not know
+	// it.
 	Address netip.AddrPort
 	// Version is the configuration version under which Target was chosen.
 	Version uint64
 	// Established is set once the target has accepted the flow.
 	Established bool
-	// Confirmed is set once the caller was heard after the target accepted:
-	// the caller uses the flow.
+	// Confirmed is set once a packet of the caller arrived after the target
+	// accepted, which shows that the caller uses the flow.
 	Confirmed bool
-	// Age is the time since the flow was opened, relative for the reason
-	// given at Packet.Timeout.
+	// Age is the time since the flow was opened. It is relative for the same
+	// reason as Packet.Timeout.
 	Age time.Duration
-	// Attempt is the attempt that was recorded, for requests.
+	// Attempt is the recorded attempt of a request.
 	Attempt uint16
 }
 
-// TargetReport is what a target says of itself. It may lag or be wrong.
+// TargetReport is a target's report of its own state. It may lag or be wrong.
 type TargetReport struct {
 	Healthy     bool
 	Draining    bool
@@ -159,41 +163,41 @@
 	ServiceTime time.Duration
 }
 
-// Dest tells what a [Send] is addressed to.
+// Dest is the kind of destination of a packet in an [Outbox].
 type Dest uint8
 
-// Destinations of a Send.
+// Kinds of destinations.
 const (
 	DestNone Dest = iota
-	// DestCaller sends to Packet.Flow.Caller.
+	// DestCaller is the address Packet.Flow.Caller.
 	DestCaller
-	// DestTarget sends to the address of the target Packet.Target.
+	// DestTarget is the target Packet.Target.
 	DestTarget
-	// DestVM sends to the VM Send.VM.
+	// DestVM is another VM.
 	DestVM
 )
 
-// Send is one packet that a decision wants sent.
+// Send is one packet to send and its destination.
 type Send struct {
 	Dest Dest
 	VM   VMID
-	// Address is the target's address when Dest is DestTarget and the
-	// sender knows it; the zero value leaves the look-up to the node.
+	// Address is the target's address if Dest is DestTarget and the address is
+	// known; otherwise the node looks it up.
 	Address netip.AddrPort
 	Packet  Packet
 }
 
-// Outbox collects what a decision wants sent. Handlers append to it, and its
-// owner reuses it, so that the data path does not allocate.
+// Outbox collects packets to send. Handlers append to it, and its owner reuses
+// it, so that the data path does not allocate.
 type Outbox []Send
 
-// Caller appends a packet to the caller of p.Flow.
+// Caller appends a packet for the caller of its flow.
 func (o *Outbox) Caller(p *Packet) { *o = append(*o, Send{Dest: DestCaller, Packet: *p}) }
 
-// Target appends a packet to target p.Target.
+// Target appends a packet for its target.
 func (o *Outbox) Target(p *Packet) { *o = append(*o, Send{Dest: DestTarget, Packet: *p}) }
 
-// VM appends a packet to another VM.
+// VM appends a packet for another member of the fleet.
 func (o *Outbox) VM(to VMID, p *Packet) {
 	*o = append(*o, Send{Dest: DestVM, VM: to, Packet: *p})
 }
--- a/view.go
+++ b/view.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// VMState is what a VM believes of another.
+// VMState is the state of a VM as another one sees it.
 type VMState uint8
 
-// States of a VM, as one member of the fleet sees it.
+// States of a VM.
 const (
 	// VMAlive answers probes.
 	VMAlive VMState = iota
 	// VMSuspect missed probes. It may be dead, paused or cut off.
 	VMSuspect
-	// VMLeaving announced a planned stop and hands over what it holds.
+	// VMLeaving announced a planned stop and hands over its records.
 	VMLeaving
-	// VMDead left in good order, or was silent past the suspicion timeout.
+	// VMDead stopped as planned, or was silent past the suspicion timeout.
 	VMDead
 )
 
@@ -34,25 +34,24 @@
 	// Incarnation grows each time the VM starts or refutes a suspicion.
 	Incarnation uint64
 	State       VMState
-	// Joining is set while the VM has started but takes no role yet: it does
-	// not know enough to tell new work from old.
+	// Joining is set while the VM has started but takes no role: it does not
+	// know enough yet to tell new work from old.
 	Joining bool
 }
 
-// View is the membership of one region as one VM sees it at one moment. It is
-// immutable; a change makes a new one.
+// View is the membership of one region as one VM sees it. It is immutable; each
+// change makes a new one.
 type View struct {
-	// Number grows with each change seen by this VM. It means nothing to
-	// other VMs.
+	// Number grows with each change seen by this VM. VMs do not share it.
 	Number uint64
 	Self   VMID
-	// Members are the VMs that may hold flows (alive or suspect), sorted by
-	// ID. VMs that are joining, leaving or dead are not among them.
+	// Members are the VMs that may hold flows (alive or suspect), sorted by ID.
+	// VMs that are joining, leaving or dead are not included.
 	Members []VM
-	// ChangedAt is when this VM last saw a member come or go.
+	// ChangedAt is when this VM last saw a member join or leave.
 	ChangedAt time.Time
-	// Unsure is set while a VM that may hold records can be neither reached
-	// nor declared dead (suspects, a partition, a recent pause): "no record
-	// found" then proves nothing.
+	// Unsure is set while a VM that may hold records is neither reachable nor
+	// declared dead (suspects, a partition, a recent pause). A missing record
+	// proves nothing then.
 	Unsure bool
 }
