--- a/core/flow/baseline.go
+++ b/core/flow/baseline.go
@@ -43,7 +43,7 @@
 	case c == nil:
 		return
 	case p.FromTarget:
-		out.Caller(p)
+		out.ToCaller(p)
 		return
 	}
 	hash := place.Hash(c.FlowSecret, p.Flow)
@@ -106,13 +106,13 @@
 	if p.Kind == baobabstep.KindReset || p.Kind == baobabstep.KindClose {
 		return
 	}
-	out.Caller(&baobabstep.Packet{
+	out.ToCaller(&baobabstep.Packet{
 		Kind: baobabstep.KindReset, FromTarget: true, Flow: p.Flow, Code: baobabstep.CodeNoTarget, RetryAfter: openRetryAfter,
 	})
 }
 
 func sendTo(tg *baobabstep.Target, version uint64, p *baobabstep.Packet, out *baobabstep.Outbox) {
-	s := baobabstep.Send{Dest: baobabstep.DestTarget, Address: tg.Address, Packet: *p}
+	s := baobabstep.OutgoingPacket{Dest: baobabstep.DestTarget, Address: tg.Address, Packet: *p}
 	s.Packet.Service, s.Packet.Target, s.Packet.Version = tg.Service, tg.ID, version
 	s.Packet.Route = baobabstep.Route{}
 	*out = append(*out, s)
--- a/core/flow/close_test.go
+++ b/core/flow/close_test.go
@@ -19,7 +19,7 @@
 			flows := openMany(x, 60)
 			x.assertAlive(flows...)
 			extra := 0
-			x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+			x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 				if s.Dest == baobabstep.DestVM && s.Packet.Kind != baobabstep.KindClose {
 					extra++
 				}
--- a/core/flow/config_test.go
+++ b/core/flow/config_test.go
@@ -91,7 +91,7 @@
 		c.Services = append(c.Services, other)
 		c.Quarantine = []baobabstep.Quarantine{{Address: old.Address, Service: c.Services[0].ID, Until: c.Version + 1}}
 	}))
-	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+	x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 		if s.Dest == baobabstep.DestTarget && s.Address == old.Address {
 			t.Fatalf("%v of %v sent to an address of another service", s.Packet.Kind, s.Packet.Flow)
 		}
--- a/core/flow/conflict_test.go
+++ b/core/flow/conflict_test.go
@@ -48,7 +48,7 @@
 	for _, vm := range x.vms {
 		side[vm.ID] = vm.DataCentre == "dc0"
 	}
-	x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
+	x.lose = func(from baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 		switch s.Dest {
 		case baobabstep.DestVM:
 			return side[from] != side[s.VM]
--- a/core/flow/death_test.go
+++ b/core/flow/death_test.go
@@ -50,7 +50,7 @@
 	for n := range 30 {
 		key := x.caller(n).key
 		o := x.owners(key, x.alive())
-		x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
+		x.lose = func(from baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 			return from == o.Holder && s.Packet.Route.Purpose == baobabstep.PurposeReplicate
 		}
 		c := x.sendOpen(n, 0)
@@ -92,7 +92,7 @@
 	flows := openMany(x, 60)
 	x.assertAlive(flows...)
 	flows, staying := flows[:30], flows[30:]
-	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+	x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 		return s.Packet.Route.Purpose == baobabstep.PurposeForget
 	}
 	x.closeAll(flows)
--- a/core/flow/differing_views_test.go
+++ b/core/flow/differing_views_test.go
@@ -151,7 +151,7 @@
 		if n%10 == 0 {
 			// The paused VM keeps the record of an open that no
 			// other VM received.
-			x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
+			x.lose = func(from baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 				return from == paused && s.Dest == baobabstep.DestVM
 			}
 			x.sendOpen(n, paused)
@@ -198,7 +198,7 @@
 	x := newTestNetwork(t, fleet{vms: 12, dcs: 1, targets: 6})
 	all := x.vms
 	x.setViews(all[:4])
-	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool { return s.Dest == baobabstep.DestCaller }
+	x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool { return s.Dest == baobabstep.DestCaller }
 	for n := range 100 {
 		x.sendOpen(n, all[0].ID)
 	}
@@ -232,7 +232,7 @@
 	router := x.routers[paused]
 	x.kill(paused)
 	x.setViews(x.alive())
-	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool { return s.Dest == baobabstep.DestCaller }
+	x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool { return s.Dest == baobabstep.DestCaller }
 	for n := range 100 {
 		x.sendOpen(n, 0)
 	}
@@ -282,7 +282,7 @@
 				chooser.prefer = targets[0].ID
 			}
 		}
-		x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
+		x.lose = func(from baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 			return from == paused && s.Packet.Kind == baobabstep.KindOpened
 		}
 		x.targetEntry = map[string]baobabstep.VMID{"dc0": paused}
--- a/core/flow/find.go
+++ b/core/flow/find.go
@@ -153,7 +153,7 @@
 }
 
 // relay sends the packet to another VM without adding this VM to Route.Tried.
-func (t *task) relay(to baobabstep.VMID) *baobabstep.Send {
+func (t *task) relay(to baobabstep.VMID) *baobabstep.OutgoingPacket {
 	t.count(EventForwarded)
 	s := t.sendPacket(baobabstep.DestVM)
 	s.VM = to
--- a/core/flow/fleet_change_test.go
+++ b/core/flow/fleet_change_test.go
@@ -46,7 +46,7 @@
 			flows := openMany(x, 60)
 			x.advance(time.Minute)
 			forgotten := flows[7]
-			x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+			x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 				return s.Dest == baobabstep.DestTarget && s.Packet.Flow == forgotten.key && s.Packet.Kind != baobabstep.KindReset
 			}
 			o := x.owners(forgotten.key, x.vms)
--- a/core/flow/flow.go
+++ b/core/flow/flow.go
@@ -299,7 +299,7 @@
 		return
 	}
 	if !first {
-		s.history = s.history.Push(place.Past{Table: s.table, Until: now})
+		s.history = s.history.Push(place.PastTable{Table: s.table, Until: now})
 	}
 	s.table, s.changedAt = table, now
 	s.gen++
--- a/core/flow/live_test.go
+++ b/core/flow/live_test.go
@@ -23,15 +23,15 @@
 	t.Parallel()
 	tests := []struct {
 		name string
-		lose func(c *fakeCaller) func(baobabstep.VMID, *baobabstep.Send) bool
+		lose func(c *fakeCaller) func(baobabstep.VMID, *baobabstep.OutgoingPacket) bool
 	}{
-		{"caller's side", func(c *fakeCaller) func(baobabstep.VMID, *baobabstep.Send) bool {
-			return func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+		{"caller's side", func(c *fakeCaller) func(baobabstep.VMID, *baobabstep.OutgoingPacket) bool {
+			return func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 				return s.Dest == baobabstep.DestCaller && s.Packet.Flow == c.key && s.Packet.Kind != baobabstep.KindReset
 			}
 		}},
-		{"target's side", func(c *fakeCaller) func(baobabstep.VMID, *baobabstep.Send) bool {
-			return func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+		{"target's side", func(c *fakeCaller) func(baobabstep.VMID, *baobabstep.OutgoingPacket) bool {
+			return func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 				return s.Dest == baobabstep.DestTarget && s.Packet.Flow == c.key && s.Packet.Kind != baobabstep.KindReset
 			}
 		}},
@@ -60,7 +60,7 @@
 	flows := openMany(x, 60)
 	x.advance(time.Minute)
 	forgotten := flows[7]
-	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+	x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 		return s.Dest == baobabstep.DestTarget && s.Packet.Flow == forgotten.key && s.Packet.Kind != baobabstep.KindReset
 	}
 	for range 4 {
@@ -101,7 +101,7 @@
 			flows := openMany(x, 60)
 			x.advance(time.Minute)
 			alone := x.owners(flows[0].key, x.vms).Holder
-			x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
+			x.lose = func(from baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 				return from == alone && s.Dest == dest && s.Packet.Kind == baobabstep.KindProbe
 			}
 			x.noInput = map[baobabstep.VMID]bool{alone: true}
@@ -240,7 +240,7 @@
 		x.routers[vm.ID].SetView(x.now, &baobabstep.View{Self: vm.ID, Members: x.vms, ChangedAt: x.now, Unsure: true})
 	}
 	far, dead := flows[3], flows[7]
-	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+	x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 		silent := s.Dest == baobabstep.DestCaller && s.Packet.Flow == far.key ||
 			s.Dest == baobabstep.DestTarget && s.Packet.Flow == dead.key
 		return silent && s.Packet.Kind != baobabstep.KindReset
--- a/core/flow/paused_open_test.go
+++ b/core/flow/paused_open_test.go
@@ -17,7 +17,7 @@
 	o := x.owners(x.key(1), x.vms)
 	x.routers[o.Second].SetPaused(x.now, true)
 	late := 0
-	x.lose = func(from baobabstep.VMID, s *baobabstep.Send) bool {
+	x.lose = func(from baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 		if from == o.Second && s.Dest == baobabstep.DestTarget && s.Packet.Kind == baobabstep.KindOpen {
 			late++
 		}
--- a/core/flow/probe_evidence_test.go
+++ b/core/flow/probe_evidence_test.go
@@ -17,7 +17,7 @@
 	flows := openMany(x, 60)
 	x.advance(time.Minute)
 	forgotten, probes := flows[7], 0
-	x.lose = func(_ baobabstep.VMID, s *baobabstep.Send) bool {
+	x.lose = func(_ baobabstep.VMID, s *baobabstep.OutgoingPacket) bool {
 		lost := s.Dest == baobabstep.DestTarget && s.Packet.Flow == forgotten.key && s.Packet.Kind != baobabstep.KindReset
 		if lost && s.Packet.Kind == baobabstep.KindProbe {
 			probes++
--- a/core/flow/send.go
+++ b/core/flow/send.go
@@ -9,7 +9,7 @@
 
 // sendPacket appends the packet, without its route, and returns the entry for
 // modification.
-func (t *task) sendPacket(dest baobabstep.Dest) *baobabstep.Send {
+func (t *task) sendPacket(dest baobabstep.Dest) *baobabstep.OutgoingPacket {
 	s := t.addSend()
 	s.Dest, s.VM, s.Address = dest, 0, netip.AddrPort{}
 	s.Packet = *t.p
@@ -19,21 +19,21 @@
 
 // addSend extends the outbox by one entry. It reuses the entry in place, since
 // Send is large enough for copies to be costly.
-func (t *task) addSend() *baobabstep.Send {
+func (t *task) addSend() *baobabstep.OutgoingPacket {
 	out := *t.out
 	if len(out) < cap(out) {
 		out = out[:len(out)+1]
 	} else {
-		out = append(out, baobabstep.Send{})
+		out = append(out, baobabstep.OutgoingPacket{})
 	}
 	*t.out = out
 	return &out[len(out)-1]
 }
 
 // sendControl appends a new packet for the same flow.
-func (t *task) sendControl(dest baobabstep.Dest, kind baobabstep.Kind, fromTarget bool) *baobabstep.Send {
+func (t *task) sendControl(dest baobabstep.Dest, kind baobabstep.Kind, fromTarget bool) *baobabstep.OutgoingPacket {
 	s := t.addSend()
-	*s = baobabstep.Send{Dest: dest}
+	*s = baobabstep.OutgoingPacket{Dest: dest}
 	s.Packet.Kind = kind
 	s.Packet.FromTarget = fromTarget
 	s.Packet.Flow = t.flowKey()
--- a/core/flow/slottable.go
+++ b/core/flow/slottable.go
@@ -86,7 +86,7 @@
 	case snap.config == nil || snap.table == nil:
 		return
 	case p.FromTarget:
-		out.Caller(p)
+		out.ToCaller(p)
 		return
 	}
 	s := snap.config.ServiceAt(p.Flow.Service)
@@ -101,7 +101,7 @@
 	if changed && holder != t.self && p.Route.Purpose == baobabstep.PurposeNone {
 		passed := *p
 		passed.Route = baobabstep.Route{Purpose: baobabstep.PurposeForward, From: t.self}
-		out.VM(holder, &passed)
+		out.ToVM(holder, &passed)
 		return
 	}
 	tg := t.choose(now, hash, slot, p)
--- a/core/flow/testnetwork_test.go
+++ b/core/flow/testnetwork_test.go
@@ -35,7 +35,7 @@
 	// targets.
 	noInput map[baobabstep.VMID]bool
 	// lose returns true for packets to drop.
-	lose  func(from baobabstep.VMID, s *baobabstep.Send) bool
+	lose  func(from baobabstep.VMID, s *baobabstep.OutgoingPacket) bool
 	queue []sentPacket
 	// targetEntry is the VM that receives the packets of a data centre's
 	// targets; those of others go to a random VM.
@@ -54,7 +54,7 @@
 // sentPacket is a packet in transit.
 type sentPacket struct {
 	from baobabstep.VMID
-	send baobabstep.Send
+	send baobabstep.OutgoingPacket
 }
 
 // fakeTarget is a target that echoes data.
--- a/core/heartbeat/alarm.go
+++ b/core/heartbeat/alarm.go
@@ -37,7 +37,7 @@
 
 // silenceReport is what a VM reports about the silence of one target.
 type silenceReport struct {
-	silence baobabstep.Silence
+	silence baobabstep.SilenceReport
 	// lastHeard is when the VM last received anything from the target; zero if not
 	// reported.
 	lastHeard time.Time
@@ -64,8 +64,8 @@
 		r.lastHeard = ago(l.HeardMS)
 	}
 	if l.Unanswered > 0 {
-		r.silence = baobabstep.Silence{
-			Unanswered: int(l.Unanswered), Opens: int(l.Opens), Vanished: int(l.Vanished), LeftAt: ago(l.LastUnansweredMS),
+		r.silence = baobabstep.SilenceReport{
+			Unanswered: int(l.Unanswered), UnansweredOpens: int(l.Opens), NotRetransmitted: int(l.Vanished), LastUnansweredAt: ago(l.LastUnansweredMS),
 		}
 	}
 	return r
@@ -74,7 +74,7 @@
 // addTo adds the report to the combined load of the target.
 func (r *silenceReport) addTo(sum *baobabstep.TargetLoad) {
 	if r.silence.Unanswered > 0 {
-		sum.Silence = append(sum.Silence, r.silence)
+		sum.SilenceReports = append(sum.SilenceReports, r.silence)
 	}
 	if r.lastHeard.After(sum.HeardAt) {
 		sum.HeardAt = r.lastHeard
--- a/core/heartbeat/alarm_test.go
+++ b/core/heartbeat/alarm_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-var silentTarget = baobabstep.TargetLoad{Target: 9, Unanswered: 1, Opens: 1, LeftAt: start.Add(-30 * time.Millisecond)}
+var silentTarget = baobabstep.TargetLoad{Target: 9, Unanswered: 1, UnansweredOpens: 1, LastUnansweredAt: start.Add(-30 * time.Millisecond)}
 
 // Guards against alarms that do not reach the own data centre, or reach others, whose path
 // to the target may differ.
@@ -37,7 +37,7 @@
 	other := newPeerTable(3)
 	other.Handle(start, address(1), newHeartbeat(1, 1, 0))
 	combined := other.HandleAlarm(start, address(1), m.Alarm)
-	qt.Assert(t, combined[9].Silence, qt.DeepEquals, []baobabstep.Silence{{Unanswered: 1, Opens: 1, LeftAt: start.Add(-30 * time.Millisecond)}})
+	qt.Assert(t, combined[9].SilenceReports, qt.DeepEquals, []baobabstep.SilenceReport{{Unanswered: 1, UnansweredOpens: 1, LastUnansweredAt: start.Add(-30 * time.Millisecond)}})
 	qt.Assert(t, other.Loads(start)[9], qt.DeepEquals, combined[9])
 }
 
--- a/core/heartbeat/board_test.go
+++ b/core/heartbeat/board_test.go
@@ -250,8 +250,8 @@
 // sortSilence sorts the silence reports of each target.
 func sortSilence(loads map[baobabstep.TargetID]baobabstep.TargetLoad) map[baobabstep.TargetID]baobabstep.TargetLoad {
 	for _, l := range loads {
-		slices.SortFunc(l.Silence, func(a, b baobabstep.Silence) int {
-			return cmp.Or(a.LeftAt.Compare(b.LeftAt), cmp.Compare(a.Unanswered, b.Unanswered), cmp.Compare(a.Opens, b.Opens))
+		slices.SortFunc(l.SilenceReports, func(a, b baobabstep.SilenceReport) int {
+			return cmp.Or(a.LastUnansweredAt.Compare(b.LastUnansweredAt), cmp.Compare(a.Unanswered, b.Unanswered), cmp.Compare(a.UnansweredOpens, b.UnansweredOpens))
 		})
 	}
 	return loads
@@ -281,12 +281,12 @@
 				times[l.Target] += int(l.LatencyMS) * int(l.AnswerTenths-failed)
 				sum.Answers, sum.Failed = float64(answers[l.Target])/tenthsPerRequest, float64(failures[l.Target])/tenthsPerRequest
 				if good := answers[l.Target] - failures[l.Target]; good > 0 {
-					sum.Took = time.Duration(times[l.Target]) * time.Millisecond / time.Duration(good)
+					sum.MeanDuration = time.Duration(times[l.Target]) * time.Millisecond / time.Duration(good)
 				}
 				sum.Callers |= l.Callers
 			}
 			if near && l.Unanswered > 0 {
-				sum.Silence = append(sum.Silence, baobabstep.Silence{Unanswered: int(l.Unanswered), LeftAt: p.lastHeard})
+				sum.SilenceReports = append(sum.SilenceReports, baobabstep.SilenceReport{Unanswered: int(l.Unanswered), LastUnansweredAt: p.lastHeard})
 			}
 			loads[l.Target] = sum
 		}
@@ -306,8 +306,8 @@
 	}
 	// VM 2 is in another data centre.
 	accumulated := make(loadsByTarget)
-	qt.Assert(t, sortSilence(accumulated.apply(b.Loads(start)))[9], qt.DeepEquals, baobabstep.TargetLoad{Requests: 4.5, Silence: []baobabstep.Silence{
-		{Unanswered: 1, Opens: 1, LeftAt: start}, {Unanswered: 2, LeftAt: start}, {Unanswered: 2, Opens: 1, LeftAt: start},
+	qt.Assert(t, sortSilence(accumulated.apply(b.Loads(start)))[9], qt.DeepEquals, baobabstep.TargetLoad{Requests: 4.5, SilenceReports: []baobabstep.SilenceReport{
+		{Unanswered: 1, UnansweredOpens: 1, LastUnansweredAt: start}, {Unanswered: 2, LastUnansweredAt: start}, {Unanswered: 2, UnansweredOpens: 1, LastUnansweredAt: start},
 	}})
 	qt.Assert(t, b.Loads(start), qt.HasLen, 0, qt.Commentf("no change since the previous call"))
 	b.MarkLoadsChanged([]baobabstep.TargetID{9})
@@ -321,7 +321,7 @@
 func TestDisputedSilence(t *testing.T) {
 	b := newPeerTable(1)
 	own := []baobabstep.TargetLoad{
-		{Target: 9, HeardAt: start.Add(-50 * time.Millisecond), Disputed: true},
+		{Target: 9, HeardAt: start.Add(-50 * time.Millisecond), ReportedSilent: true},
 		{Target: 10, HeardAt: start.Add(-50 * time.Millisecond)},
 	}
 	for _, n := range []int{2, 3} {
@@ -482,7 +482,7 @@
 	h.EvacuationsVersion = h.Versions[Targets]
 	var own []baobabstep.TargetLoad
 	for id := range 200 {
-		own = append(own, baobabstep.TargetLoad{Target: baobabstep.TargetID(id) + 1<<39, Requests: 6000, Unanswered: 255, Opens: 255, HeardAt: start.Add(-time.Minute), Disputed: true, Answers: 6000, Failed: 6000, Took: time.Minute})
+		own = append(own, baobabstep.TargetLoad{Target: baobabstep.TargetID(id) + 1<<39, Requests: 6000, Unanswered: 255, UnansweredOpens: 255, HeardAt: start.Add(-time.Minute), ReportedSilent: true, Answers: 6000, Failed: 6000, MeanDuration: time.Minute})
 	}
 	h.Loads = MakeLoads(start, own, maxLoads)
 	qt.Assert(t, h.Loads, qt.HasLen, maxLoads)
--- a/core/heartbeat/load.go
+++ b/core/heartbeat/load.go
@@ -96,7 +96,7 @@
 	}
 	load.Answers, load.Failed = float64(s.answers)/tenthsPerRequest, float64(s.failed)/tenthsPerRequest
 	if succeeded := s.answers - s.failed; succeeded > 0 {
-		load.Took = time.Duration(s.latency) * time.Millisecond / time.Duration(succeeded)
+		load.MeanDuration = time.Duration(s.latency) * time.Millisecond / time.Duration(succeeded)
 	}
 	for bit, vms := range s.callers {
 		if vms > 0 {
@@ -200,17 +200,17 @@
 	for _, l := range own {
 		load := Load{
 			Target: l.Target, RequestTenths: uint32(l.Requests * tenthsPerRequest),
-			Unanswered: sentCount(l.Unanswered), Opens: sentCount(l.Opens), Vanished: sentCount(l.Vanished),
+			Unanswered: sentCount(l.Unanswered), Opens: sentCount(l.UnansweredOpens), Vanished: sentCount(l.NotRetransmitted),
 		}
-		if l.Disputed && !l.HeardAt.IsZero() {
+		if l.ReportedSilent && !l.HeardAt.IsZero() {
 			load.HeardMS = uint16(min(max(1, now.Sub(l.HeardAt).Milliseconds()), maxHeardMS))
 		}
 		if load.Unanswered > 0 {
-			load.LastUnansweredMS = uint16(min(max(0, now.Sub(l.LeftAt).Milliseconds()), maxLeftMS))
+			load.LastUnansweredMS = uint16(min(max(0, now.Sub(l.LastUnansweredAt).Milliseconds()), maxLeftMS))
 		}
 		if l.Answers > 0 {
 			load.AnswerTenths, load.FailedTenths = toTenths(l.Answers), toTenths(min(l.Failed, l.Answers))
-			load.LatencyMS = uint16(min(l.Took.Milliseconds(), math.MaxUint16))
+			load.LatencyMS = uint16(min(l.MeanDuration.Milliseconds(), math.MaxUint16))
 			load.Callers = l.Callers
 		}
 		if load.RequestTenths > 0 || load.hasDetails() {
--- a/core/heartbeat/section.go
+++ b/core/heartbeat/section.go
@@ -135,7 +135,7 @@
 	if r.Draining {
 		draining = 1
 	}
-	for _, v := range []uint64{uint64(r.Slots), draining, uint64(r.ColdFor), r.Life} {
+	for _, v := range []uint64{uint64(r.Slots), draining, uint64(r.WarmupLeft), r.StartedMS} {
 		b = binary.AppendUvarint(b, v)
 	}
 	s.Rows = b
@@ -188,7 +188,7 @@
 	if in.failed || r.ID == 0 || !r.Address.IsValid() || slots < 1 || slots > maxSlots || draining > 1 || int64(cold) < 0 {
 		return r, nil, malformedSection("invalid registration in the last %d bytes", len(b))
 	}
-	r.Slots, r.Draining, r.ColdFor, r.Life = int(slots), draining == 1, time.Duration(cold), life
+	r.Slots, r.Draining, r.WarmupLeft, r.StartedMS = int(slots), draining == 1, time.Duration(cold), life
 	return r, in.b, nil
 }
 
--- a/core/heartbeat/section_test.go
+++ b/core/heartbeat/section_test.go
@@ -22,8 +22,8 @@
 				reg := registrationOf(baobabstep.TargetID(rapid.IntRange(1, 400).Draw(t, "id")))
 				reg.Service = rapid.SampledFrom([]string{"a", "b", strings.Repeat("c", 50), strings.Repeat("d", 90)}).Draw(t, "service")
 				reg.Draining = rapid.Bool().Draw(t, "draining")
-				reg.ColdFor = time.Duration(rapid.IntRange(0, 3).Draw(t, "cold")) * time.Second
-				reg.Life = uint64(rapid.IntRange(0, 1<<40).Draw(t, "life"))
+				reg.WarmupLeft = time.Duration(rapid.IntRange(0, 3).Draw(t, "cold")) * time.Second
+				reg.StartedMS = uint64(rapid.IntRange(0, 1<<40).Draw(t, "life"))
 				d.Put = append(d.Put, reg)
 			}
 			if err := r.Apply(d); err != nil {
--- a/core/heartbeat/transfer.go
+++ b/core/heartbeat/transfer.go
@@ -94,7 +94,7 @@
 	}
 	return ruleBody{
 		Name: r.Name, Address: r.Address, Shares: shares,
-		Repeatable: r.Repeatable, Aim: r.Aim, Priority: r.Priority,
+		Repeatable: r.Repeatable, Aim: r.LatencyObjective, Priority: r.Priority,
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 	return baobabstep.Rule{
 		Name: b.Name, Address: b.Address, Shares: shares,
-		Repeatable: b.Repeatable, Aim: b.Aim, Priority: b.Priority,
+		Repeatable: b.Repeatable, LatencyObjective: b.Aim, Priority: b.Priority,
 	}, nil
 }
 
@@ -156,7 +156,7 @@
 func makeTarget(r *baobabstep.Registration) targetBody {
 	return targetBody{
 		ID: r.ID, Service: r.Service, Address: r.Address, DataCentre: r.DataCentre,
-		Release: r.Release, Slots: r.Slots, Draining: r.Draining, ColdFor: r.ColdFor, Life: r.Life,
+		Release: r.Release, Slots: r.Slots, Draining: r.Draining, ColdFor: r.WarmupLeft, Life: r.StartedMS,
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 	return baobabstep.Registration{
 		ID: b.ID, Service: b.Service, Address: b.Address, DataCentre: b.DataCentre,
-		Release: b.Release, Slots: b.Slots, Draining: b.Draining, ColdFor: b.ColdFor, Life: b.Life,
+		Release: b.Release, Slots: b.Slots, Draining: b.Draining, WarmupLeft: b.ColdFor, StartedMS: b.Life,
 	}, nil
 }
 
--- a/core/heartbeat/transfer_test.go
+++ b/core/heartbeat/transfer_test.go
@@ -112,7 +112,7 @@
 
 func TestTargetsRoundTrip(t *testing.T) {
 	want := []baobabstep.Registration{
-		{ID: 3, Service: "fixtures", Address: address(3), DataCentre: "a", Release: "v1", Slots: 2, Draining: true, ColdFor: time.Second},
+		{ID: 3, Service: "fixtures", Address: address(3), DataCentre: "a", Release: "v1", Slots: 2, Draining: true, WarmupLeft: time.Second},
 		{ID: 4, Service: "results", Address: address(4), DataCentre: "b", Slots: 1},
 	}
 	content, err := EncodeTargets(want)
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -30,8 +30,8 @@
 	"baobabstep"
 )
 
-// Slots is the number of slots of each data centre, a power of two.
-const Slots = 1 << 14
+// SlotCount is the number of slots of each data centre, a power of two.
+const SlotCount = 1 << 14
 
 // keySize is the size of an encoded key in bytes.
 const keySize = 16 + 2 + 16 + 2 + 8
@@ -57,7 +57,7 @@
 
 // Slot returns the slot of a hashed key.
 func Slot(h baobabstep.KeyHash) int {
-	return int(binary.LittleEndian.Uint64(h[:8]) % Slots)
+	return int(binary.LittleEndian.Uint64(h[:8]) % SlotCount)
 }
 
 // Owners are the VMs that store the record of a key.
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -58,7 +58,7 @@
 
 // eachSlot calls f with a hash of each slot.
 func eachSlot(f func(h baobabstep.KeyHash)) {
-	for slot := range place.Slots {
+	for slot := range place.SlotCount {
 		f(baobabstep.KeyHash{byte(slot), byte(slot >> 8)})
 	}
 }
@@ -142,7 +142,7 @@
 			}
 			table = table.Update(next)
 			fresh := place.New(next)
-			for slot := 0; slot < place.Slots; slot += 37 {
+			for slot := 0; slot < place.SlotCount; slot += 37 {
 				for dc := range byte(4) {
 					h := baobabstep.KeyHash{byte(slot), byte(slot >> 8), 8: dc}
 					if got, want := table.Owners(h, nil), fresh.Owners(h, nil); got != want {
@@ -177,7 +177,7 @@
 				load[o.Holder]++
 				most = max(most, load[o.Holder])
 			})
-			over := float64(most) * float64(test.members) / place.Slots
+			over := float64(most) * float64(test.members) / place.SlotCount
 			t.Logf("largest load over mean: %.2f", over)
 			qt.Assert(t, over < test.most, qt.IsTrue, qt.Commentf("got %.2f", over))
 		})
@@ -187,10 +187,10 @@
 func TestHistoryIsBounded(t *testing.T) {
 	var h place.History
 	for range 40 {
-		h = h.Push(place.Past{Table: place.New(fleet(1))})
+		h = h.Push(place.PastTable{Table: place.New(fleet(1))})
 	}
 	newest := place.New(fleet(2))
-	h = h.Push(place.Past{Table: newest})
+	h = h.Push(place.PastTable{Table: newest})
 	qt.Assert(t, len(h), qt.Equals, 16)
 	qt.Assert(t, h[0].Table, qt.Equals, newest)
 }
--- a/core/place/table.go
+++ b/core/place/table.go
@@ -105,7 +105,7 @@
 		hash:    xxhash.Sum64String(name),
 		members: members,
 		racks:   countRacks(members),
-		slots:   make([]ownerPair, Slots),
+		slots:   make([]ownerPair, SlotCount),
 	}
 	if d == nil || (d.racks > 1) != (next.racks > 1) || len(d.members) < 2 {
 		next.computeSlots()
@@ -219,18 +219,18 @@
 // records that have not been moved to their new owners yet.
 const historySize = 16
 
-// Past is a table that was in use until another replaced it.
-type Past struct {
+// PastTable is a table that was in use until another replaced it.
+type PastTable struct {
 	Table *Table
 	Until time.Time
 }
 
 // History holds past tables, newest first. It is immutable.
-type History []Past
+type History []PastTable
 
 // Push returns the history with p as the newest table, dropping the oldest one
 // above historySize.
-func (h History) Push(p Past) History {
+func (h History) Push(p PastTable) History {
 	next := make(History, 0, historySize)
 	next = append(next, p)
 	return append(next, h[:min(len(h), historySize-1)]...)
--- a/core/request/admit.go
+++ b/core/request/admit.go
@@ -160,7 +160,7 @@
 // sendUnknown refuses a request with "outcome unknown" if no entry can be created
 // or used for it.
 func (g *group) sendUnknown(now time.Time, p *baobabstep.Packet, out *baobabstep.Outbox) {
-	out.Caller(&baobabstep.Packet{
+	out.ToCaller(&baobabstep.Packet{
 		Kind:       baobabstep.KindRefusal,
 		Flow:       p.Flow,
 		Service:    g.id.service,
@@ -269,7 +269,7 @@
 const cancelGrace = 200 * time.Millisecond
 
 func (g *group) sendCancelled(en *entry, out *baobabstep.Outbox) {
-	out.Caller(&baobabstep.Packet{
+	out.ToCaller(&baobabstep.Packet{
 		Kind:    baobabstep.KindRefusal,
 		Flow:    en.key,
 		Service: g.id.service,
@@ -278,7 +278,7 @@
 }
 
 func (g *group) cancelAttempt(en *entry, out *baobabstep.Outbox) {
-	out.Target(&baobabstep.Packet{
+	out.ToTarget(&baobabstep.Packet{
 		Kind:    baobabstep.KindCancel,
 		Flow:    en.key,
 		Service: g.id.service,
--- a/core/request/claim.go
+++ b/core/request/claim.go
@@ -66,7 +66,7 @@
 				en.claim.asked = append(en.claim.asked, vm)
 			}
 			g.engine.stats.claims.Add(1)
-			out.VM(vm, g.claimPacket(now, en, baobabstep.PurposeReplicate))
+			out.ToVM(vm, g.claimPacket(now, en, baobabstep.PurposeReplicate))
 		}
 	})
 }
@@ -173,7 +173,7 @@
 		q.Route.Tried[0] = owner
 		q.Route.NTried = 1
 	}
-	out.VM(p.Route.From, q)
+	out.ToVM(p.Route.From, q)
 }
 
 // handleClaimReply handles a witness's reply to a claim.
@@ -233,7 +233,7 @@
 	p := g.claimPacket(now, en, baobabstep.PurposeForward)
 	p.Seq, p.Attempt = 1, 0
 	p.Route.Tried[0], p.Route.NTried = g.engine.opts.Self, 1
-	out.VM(owner, p)
+	out.ToVM(owner, p)
 }
 
 // finishUnknown ends a request with "outcome unknown".
@@ -247,7 +247,7 @@
 	for _, vm := range en.claim.asked {
 		p := en.group.claimPacket(en.deadline, en, baobabstep.PurposeForget)
 		p.Code = en.result.code
-		out.VM(vm, p)
+		out.ToVM(vm, p)
 	}
 }
 
--- a/core/request/dispatch.go
+++ b/core/request/dispatch.go
@@ -116,7 +116,7 @@
 	g.attempts = append(g.attempts, runningAttempt{en, en.attempt})
 	en.setState(stateRunning)
 	g.engine.stats.handedOver.Add(1)
-	out.Target(&baobabstep.Packet{
+	out.ToTarget(&baobabstep.Packet{
 		Kind:       baobabstep.KindRequest,
 		Flow:       en.key,
 		Service:    g.id.service,
--- a/core/request/group.go
+++ b/core/request/group.go
@@ -19,7 +19,7 @@
 
 // groupOf returns the group that a request belongs to.
 func groupOf(s *baobabstep.Service, h baobabstep.KeyHash) groupID {
-	groups := target.Groups(len(s.Targets))
+	groups := target.GroupCount(len(s.Targets))
 	return groupID{service: s.ID, index: int(binary.LittleEndian.Uint64(h[:8]) % uint64(groups)), groups: groups}
 }
 
@@ -256,12 +256,12 @@
 		// it can no longer be treated as a first transmission.
 		q.Seq = max(q.Seq, 1)
 	}
-	out.VM(to, &q)
+	out.ToVM(to, &q)
 }
 
 // slotQuery returns the query for a slot of this group.
-func (g *group) slotQuery(exclude baobabstep.TargetID) target.Slot {
-	return target.Slot{
+func (g *group) slotQuery(exclude baobabstep.TargetID) target.SlotQuery {
+	return target.SlotQuery{
 		Service: g.service,
 		Group:   g.id.index,
 		Groups:  g.id.groups,
--- a/core/request/ledger.go
+++ b/core/request/ledger.go
@@ -158,7 +158,7 @@
 // sendResult sends the result to the caller.
 func (en *entry) sendResult(out *baobabstep.Outbox) {
 	if en.result.code != baobabstep.CodeOK {
-		out.Caller(&baobabstep.Packet{
+		out.ToCaller(&baobabstep.Packet{
 			Kind:       baobabstep.KindRefusal,
 			Flow:       en.key,
 			Service:    en.group.id.service,
@@ -170,7 +170,7 @@
 	}
 	n := len(en.result.answer)
 	for i, part := range en.result.answer {
-		out.Caller(&baobabstep.Packet{
+		out.ToCaller(&baobabstep.Packet{
 			Kind:    baobabstep.KindAnswer,
 			Flow:    en.key,
 			Service: en.group.id.service,
--- a/core/request/model_test.go
+++ b/core/request/model_test.go
@@ -74,7 +74,7 @@
 	for i := range m.local {
 		m.local[i] = make([]int, targets)
 	}
-	size := (targets + target.Groups(targets) - 1) / target.Groups(targets)
+	size := (targets + target.GroupCount(targets) - 1) / target.GroupCount(targets)
 	for first := 0; first < targets; first += size {
 		n := min(size, targets-first)
 		m.dispatchers = append(m.dispatchers, modelDispatcher{first: first, numTargets: n, used: make([]int, n)})
--- a/core/request/request.go
+++ b/core/request/request.go
@@ -57,7 +57,7 @@
 // implements it.
 type SlotAllocator interface {
 	// PickSlot takes a slot until SlotDone is called.
-	PickSlot(now time.Time, q target.Slot) (baobabstep.TargetID, baobabstep.Code)
+	PickSlot(now time.Time, q target.SlotQuery) (baobabstep.TargetID, baobabstep.Code)
 	// SlotDone releases a slot and reports the outcome of the attempt.
 	SlotDone(now time.Time, id baobabstep.TargetID, code baobabstep.Code, serviceTime time.Duration)
 	// Outcome reports the outcome of an attempt whose slot was already released.
@@ -218,7 +218,7 @@
 	for i := range c.Services {
 		s := &c.Services[i]
 		before := old.Service(s.ID)
-		regrouped := before != nil && target.Groups(len(before.Targets)) != target.Groups(len(s.Targets))
+		regrouped := before != nil && target.GroupCount(len(before.Targets)) != target.GroupCount(len(s.Targets))
 		if regrouped || old.FlowSecret != c.FlowSecret {
 			regroupedAt[s.ID] = now
 		}
@@ -294,7 +294,7 @@
 	if p.Kind != baobabstep.KindRequest || p.Route.Purpose != baobabstep.PurposeNone {
 		return
 	}
-	out.Caller(&baobabstep.Packet{
+	out.ToCaller(&baobabstep.Packet{
 		Kind: baobabstep.KindRefusal,
 		Flow: p.Flow,
 		// Another VM may know the service and have run a copy.
--- a/core/request/testbed_test.go
+++ b/core/request/testbed_test.go
@@ -255,7 +255,7 @@
 	}
 }
 
-func (b *testBed) send(from *vm, s *baobabstep.Send) {
+func (b *testBed) send(from *vm, s *baobabstep.OutgoingPacket) {
 	p := s.Packet
 	p.Payload = append([]byte(nil), p.Payload...)
 	name := fmt.Sprintf("vm-%d", from.index)
--- a/core/request/tombstone.go
+++ b/core/request/tombstone.go
@@ -95,7 +95,7 @@
 		if p.Seq == 0 {
 			return
 		}
-		out.Caller(&baobabstep.Packet{
+		out.ToCaller(&baobabstep.Packet{
 			Kind:       baobabstep.KindRefusal,
 			Flow:       p.Flow,
 			Service:    g.id.service,
--- a/core/target/balance_test.go
+++ b/core/target/balance_test.go
@@ -102,7 +102,7 @@
 func (s *simulation) probe() {
 	for _, r := range s.vms {
 		for _, id := range r.ProbeTargets(s.now) {
-			r.Report(s.now, id, baobabstep.TargetReport{Healthy: true, Connections: uint32(s.reportedFlows[id])})
+			r.RecordReport(s.now, id, baobabstep.TargetReport{Healthy: true, Connections: uint32(s.reportedFlows[id])})
 		}
 	}
 	for id, n := range s.flowCount {
@@ -112,7 +112,7 @@
 
 func (s *simulation) gossip() {
 	for i, r := range s.vms {
-		body := r.News(s.now, 1200)
+		body := r.EncodeGossip(s.now, 1200)
 		if body == nil {
 			continue
 		}
@@ -140,7 +140,7 @@
 
 func (s *simulation) drain(id baobabstep.TargetID, on bool) {
 	for _, r := range s.vms {
-		r.Leaving(s.now, id, SourcePlatform, on)
+		r.SetLeaving(s.now, id, SourcePlatform, on)
 	}
 }
 
--- a/core/target/bench_test.go
+++ b/core/target/bench_test.go
@@ -48,7 +48,7 @@
 			r.SetConfig(epoch, testConfig(s))
 			b.ReportAllocs()
 			for b.Loop() {
-				id, _ := r.PickSlot(epoch, Slot{Service: &s, Groups: Groups(n)})
+				id, _ := r.PickSlot(epoch, SlotQuery{Service: &s, Groups: GroupCount(n)})
 				r.SlotDone(epoch, id, baobabstep.CodeOK, 0)
 			}
 		})
@@ -69,7 +69,7 @@
 			draw++
 			r.PickFlow(epoch, &c.Services[mix(draw)%uint64(len(c.Services))], dataCentre, mix(draw))
 		}
-		r.News(epoch, 1200)
+		r.EncodeGossip(epoch, 1200)
 	}
 }
 
--- a/core/target/evidence.go
+++ b/core/target/evidence.go
@@ -192,8 +192,8 @@
 	e.markChanged()
 }
 
-// Report applies a target's answer to a probe of this VM.
-func (r *Registry) Report(now time.Time, id baobabstep.TargetID, report baobabstep.TargetReport) {
+// RecordReport applies a target's answer to a probe of this VM.
+func (r *Registry) RecordReport(now time.Time, id baobabstep.TargetID, report baobabstep.TargetReport) {
 	e := r.entryOf(id)
 	if e == nil {
 		return
@@ -273,8 +273,8 @@
 	e.markChanged()
 }
 
-// Leaving records that a source reports a target as leaving, or no longer.
-func (r *Registry) Leaving(_ time.Time, id baobabstep.TargetID, source Source, leaving bool) {
+// SetLeaving records that a source reports a target as leaving, or no longer.
+func (r *Registry) SetLeaving(_ time.Time, id baobabstep.TargetID, source Source, leaving bool) {
 	e := r.entryOf(id)
 	if e == nil || source >= numSources {
 		return
--- a/core/target/example_test.go
+++ b/core/target/example_test.go
@@ -21,10 +21,10 @@
 	r := target.New(now, target.Options{Rand: rand.New(rand.NewPCG(1, 1))})
 	r.SetConfig(now, config)
 
-	r.Report(now, 10, baobabstep.TargetReport{Healthy: true, Draining: true})
+	r.RecordReport(now, 10, baobabstep.TargetReport{Healthy: true, Draining: true})
 	id, code := r.PickFlow(now, &service, "", 42)
 	fmt.Println(id, code)
-	fmt.Println(r.Table(now)[0].Reason)
+	fmt.Println(r.States(now)[0].Reason)
 	// Output:
 	// 11 OK
 	// leaving by its own report
--- a/core/target/health_test.go
+++ b/core/target/health_test.go
@@ -67,16 +67,16 @@
 		for range 100 {
 			r.FlowOpened(epoch, first)
 		}
-		r.Report(epoch, first, baobabstep.TargetReport{Healthy: true})
+		r.RecordReport(epoch, first, baobabstep.TargetReport{Healthy: true})
 		got := pickable(r, epoch, s)
 		qt.Assert(t, got[first] < got[s.Targets[1].ID], qt.IsTrue)
 	})
 	t.Run("full", func(t *testing.T) {
 		r, s := setUp(t, 2)
 		full := baobabstep.TargetReport{Healthy: true, Connections: 2000}
-		r.Report(epoch, s.Targets[0].ID, full)
+		r.RecordReport(epoch, s.Targets[0].ID, full)
 		qt.Assert(t, pickable(r, epoch, s)[s.Targets[0].ID], qt.Equals, 0)
-		r.Report(epoch, s.Targets[1].ID, full)
+		r.RecordReport(epoch, s.Targets[1].ID, full)
 		qt.Assert(t, len(pickable(r, epoch, s)) > 0, qt.IsTrue)
 	})
 }
@@ -92,7 +92,7 @@
 		now = now.Add(2 * time.Second)
 		for _, id := range r.ProbeTargets(now) {
 			if answer || id != first {
-				r.Report(now, id, baobabstep.TargetReport{Healthy: true})
+				r.RecordReport(now, id, baobabstep.TargetReport{Healthy: true})
 			}
 		}
 	}
@@ -118,8 +118,8 @@
 		other := newRegistry(t, i+1)
 		other.SetConfig(epoch, testConfig(*s))
 		other.SetView(epoch, testView(9, dataCentre))
-		other.Report(epoch, first, baobabstep.TargetReport{Healthy: false})
-		handleGossip(t, r, epoch, vmID(i+1), other.News(epoch, 1000))
+		other.RecordReport(epoch, first, baobabstep.TargetReport{Healthy: false})
+		handleGossip(t, r, epoch, vmID(i+1), other.EncodeGossip(epoch, 1000))
 		qt.Assert(t, pickable(r, epoch, s)[first] > 0, qt.Equals, want)
 	}
 }
@@ -153,14 +153,14 @@
 	qt.Assert(t, len(pickable(r, epoch, &s)), qt.Equals, 3)
 	now := epoch.Add(2 * time.Second)
 	for _, id := range r.ProbeTargets(now) {
-		r.Report(now, id, baobabstep.TargetReport{Healthy: true})
+		r.RecordReport(now, id, baobabstep.TargetReport{Healthy: true})
 	}
 	qt.Assert(t, usable(r, now), qt.Equals, 9)
 }
 
 func usable(r *Registry, now time.Time) int {
 	n := 0
-	for _, state := range r.Table(now) {
+	for _, state := range r.States(now) {
 		if state.Usable {
 			n++
 		}
@@ -178,12 +178,12 @@
 		r.SetView(epoch, testView(3, dataCentre))
 	}
 	first := s.Targets[0].ID
-	a.Leaving(epoch, first, SourcePlatform, true)
-	leaves := a.News(epoch, 1000)
-	a.Leaving(epoch, first, SourcePlatform, false)
-	returns := a.News(epoch, 1000)
-	a.Leaving(epoch, first, SourcePlatform, true)
-	again := a.News(epoch, 1000)
+	a.SetLeaving(epoch, first, SourcePlatform, true)
+	leaves := a.EncodeGossip(epoch, 1000)
+	a.SetLeaving(epoch, first, SourcePlatform, false)
+	returns := a.EncodeGossip(epoch, 1000)
+	a.SetLeaving(epoch, first, SourcePlatform, true)
+	again := a.EncodeGossip(epoch, 1000)
 	out := func(r *Registry) bool { return pickable(r, epoch, &s)[first] == 0 }
 	for _, step := range []struct {
 		news []byte
@@ -192,7 +192,7 @@
 		handleGossip(t, b, epoch, vmID(0), step.news)
 		qt.Assert(t, out(b), qt.Equals, step.want)
 	}
-	handleGossip(t, c, epoch, vmID(1), b.News(epoch, 1000))
+	handleGossip(t, c, epoch, vmID(1), b.EncodeGossip(epoch, 1000))
 	c.SetView(epoch, &baobabstep.View{Members: testView(3, dataCentre).Members[1:]})
 	qt.Assert(t, out(c), qt.IsTrue)
 }
@@ -227,7 +227,7 @@
 				r.Outcome(epoch, target.ID, baobabstep.CodeOK, d)
 			}
 		}
-		return r.Table(epoch)[0].SlotLimit
+		return r.States(epoch)[0].SlotLimit
 	}
 	qt.Assert(t, work(100*time.Millisecond), qt.Equals, 1)
 	qt.Assert(t, work(10*time.Millisecond), qt.Equals, 2)
@@ -246,13 +246,13 @@
 	a.SetConfig(epoch, testConfig(s))
 	a.SetView(epoch, testView(3, dataCentre))
 	a.FlowOpened(epoch, s.Targets[0].ID)
-	a.Leaving(epoch, s.Targets[1].ID, SourcePlatform, true)
-	f.Add(a.News(epoch, 1000))
+	a.SetLeaving(epoch, s.Targets[1].ID, SourcePlatform, true)
+	f.Add(a.EncodeGossip(epoch, 1000))
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r := newRegistry(t, 1)
 		r.SetConfig(epoch, testConfig(s))
-		_, _ = r.Learn(epoch, vmID(0), body)
+		_, _ = r.HandleGossip(epoch, vmID(0), body)
 		pickable(r, epoch, &s)
 	})
 }
--- a/core/target/join.go
+++ b/core/target/join.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Ask returns the encoded query for all leaving targets. A joining VM
+// EncodeQuery returns the encoded query for all leaving targets. A joining VM
 // sends it to members: gossip goes to members only, in rounds, so without the
 // query its first requests could go to targets that have been draining for
 // seconds.
-func (r *Registry) Ask() []byte {
+func (r *Registry) EncodeQuery() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.encode(&gossipMessage{Epoch: r.gossip.epoch, Query: true})
 }
 
-// AnsweredAt returns when the last answer to a query arrived; zero
+// QueryAnsweredAt returns when the last answer to a query arrived; zero
 // before the first.
-func (r *Registry) AnsweredAt() time.Time {
+func (r *Registry) QueryAnsweredAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answeredAt
--- a/core/target/join_test.go
+++ b/core/target/join_test.go
@@ -19,19 +19,19 @@
 	a.SetConfig(epoch, testConfig(s))
 	a.SetView(epoch, testView(3, dataCentre))
 	leaving := s.Targets[0].ID
-	a.Leaving(epoch, leaving, SourceTarget, true)
+	a.SetLeaving(epoch, leaving, SourceTarget, true)
 	for range leavingSends {
-		a.News(epoch, 1000)
+		a.EncodeGossip(epoch, 1000)
 	}
 
 	joined := newRegistry(t, 3)
 	joined.SetConfig(epoch, testConfig(s))
 	a.SetView(epoch, testView(4, dataCentre))
 	joined.SetView(epoch, testView(4, dataCentre))
-	news := a.News(epoch, 1000)
+	news := a.EncodeGossip(epoch, 1000)
 	qt.Assert(t, news, qt.IsNotNil)
 	handleGossip(t, joined, epoch, vmID(0), news)
-	for _, state := range joined.Table(epoch) {
+	for _, state := range joined.States(epoch) {
 		qt.Assert(t, state.Usable, qt.Equals, state.Target != leaving)
 	}
 	qt.Assert(t, pickable(joined, epoch, &s)[leaving], qt.Equals, 0)
@@ -57,22 +57,22 @@
 	member.SetView(epoch, testView(3, dataCentre))
 	joining.SetView(epoch, testView(3, dataCentre))
 	leaving, returned := s.Targets[0].ID, s.Targets[1].ID
-	member.Leaving(epoch, leaving, SourceTarget, true)
-	member.Leaving(epoch, returned, SourcePlatform, true)
-	member.Leaving(epoch, returned, SourcePlatform, false)
+	member.SetLeaving(epoch, leaving, SourceTarget, true)
+	member.SetLeaving(epoch, returned, SourcePlatform, true)
+	member.SetLeaving(epoch, returned, SourcePlatform, false)
 	for range leavingSends {
-		member.News(epoch, 1000)
+		member.EncodeGossip(epoch, 1000)
 	}
-	qt.Assert(t, joining.AnsweredAt().IsZero(), qt.IsTrue)
+	qt.Assert(t, joining.QueryAnsweredAt().IsZero(), qt.IsTrue)
 
-	answer, err := member.Learn(epoch, vmID(3), joining.Ask())
+	answer, err := member.HandleGossip(epoch, vmID(3), joining.EncodeQuery())
 	qt.Assert(t, err, qt.IsNil)
 	now := epoch.Add(time.Second)
-	reply, err := joining.Learn(now, vmID(0), answer)
+	reply, err := joining.HandleGossip(now, vmID(0), answer)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, reply, qt.IsNil)
-	qt.Check(t, joining.AnsweredAt(), qt.Equals, now)
-	for _, state := range joining.Table(now) {
+	qt.Check(t, joining.QueryAnsweredAt(), qt.Equals, now)
+	for _, state := range joining.States(now) {
 		qt.Check(t, state.Usable, qt.Equals, state.Target != leaving)
 	}
 	qt.Check(t, pickable(joining, now, &s)[leaving], qt.Equals, 0)
@@ -87,13 +87,13 @@
 	predecessor := gossipMessage{Epoch: 9}
 	encoded, err := cbor.Marshal(&predecessor)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = member.Learn(epoch, vmID(1), encoded)
+	_, err = member.HandleGossip(epoch, vmID(1), encoded)
 	qt.Assert(t, err, qt.IsNil)
-	answer, err := member.Learn(epoch, vmID(1), joining.Ask())
+	answer, err := member.HandleGossip(epoch, vmID(1), joining.EncodeQuery())
 	qt.Assert(t, err, qt.IsNil)
-	_, err = joining.Learn(epoch.Add(time.Second), vmID(0), answer)
+	_, err = joining.HandleGossip(epoch.Add(time.Second), vmID(0), answer)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, joining.AnsweredAt().IsZero(), qt.IsFalse)
+	qt.Check(t, joining.QueryAnsweredAt().IsZero(), qt.IsFalse)
 }
 
 // With more leaving targets than fit into one message, the answer stays within
@@ -102,14 +102,14 @@
 	s := testService(4000, dataCentre)
 	member, joining := newPair(t, &s, 1)
 	for i := range s.Targets {
-		member.Leaving(epoch, s.Targets[i].ID, SourceTarget, true)
+		member.SetLeaving(epoch, s.Targets[i].ID, SourceTarget, true)
 	}
-	answer, err := member.Learn(epoch, vmID(1), joining.Ask())
+	answer, err := member.HandleGossip(epoch, vmID(1), joining.EncodeQuery())
 	qt.Assert(t, err, qt.IsNil)
-	_, err = joining.Learn(epoch, vmID(0), answer)
+	_, err = joining.HandleGossip(epoch, vmID(0), answer)
 	qt.Assert(t, err, qt.IsNil)
 	known := 0
-	for _, state := range joining.Table(epoch) {
+	for _, state := range joining.States(epoch) {
 		if !state.Usable {
 			known++
 		}
--- a/core/target/news.go
+++ b/core/target/news.go
@@ -107,10 +107,10 @@
 	}
 }
 
-// News returns the gossip for the other VMs of the region, at most
+// EncodeGossip returns the gossip for the other VMs of the region, at most
 // maxBytes, or nil if there is none. Leaving updates go first, then changed
 // counts, then a few targets by rotation.
-func (r *Registry) News(_ time.Time, maxBytes int) []byte {
+func (r *Registry) EncodeGossip(_ time.Time, maxBytes int) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := &r.gossip
@@ -219,9 +219,9 @@
 	return b
 }
 
-// Learn applies a gossip message of another VM, which may be late,
+// HandleGossip applies a gossip message of another VM, which may be late,
 // duplicated or out of order. It returns the reply to a query, otherwise nil.
-func (r *Registry) Learn(now time.Time, from baobabstep.VMID, encoded []byte) ([]byte, error) {
+func (r *Registry) HandleGossip(now time.Time, from baobabstep.VMID, encoded []byte) ([]byte, error) {
 	if len(encoded) > maxGossipBytes {
 		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "target.learn", "got %d bytes, want at most %d", len(encoded), maxGossipBytes)
 	}
--- a/core/target/pick.go
+++ b/core/target/pick.go
@@ -167,9 +167,9 @@
 // maxGroupTargets is the maximum number of targets per dispatcher.
 const maxGroupTargets = 64
 
-// Groups returns the number of groups of a service with n targets: a
+// GroupCount returns the number of groups of a service with n targets: a
 // power of two, so that it rarely changes.
-func Groups(n int) int {
+func GroupCount(n int) int {
 	if n <= maxGroupTargets {
 		return 1
 	}
@@ -185,9 +185,9 @@
 	return p.groups[group]
 }
 
-// Slot is a query for PickSlot: one group of a service. Groups split
+// SlotQuery is a query for PickSlot: one group of a service. Groups split
 // large services between dispatchers.
-type Slot struct {
+type SlotQuery struct {
 	Service       *baobabstep.Service
 	Group, Groups int
 	// Exclude is a target to avoid, such as one that just refused.
@@ -197,7 +197,7 @@
 // PickSlot takes a slot of the target with the smallest share of its slots in
 // use. The slot is in use until SlotDone. CodeNoCapacity means that all slots
 // are in use, CodeNoTarget that no target may get work.
-func (r *Registry) PickSlot(now time.Time, q Slot) (baobabstep.TargetID, baobabstep.Code) {
+func (r *Registry) PickSlot(now time.Time, q SlotQuery) (baobabstep.TargetID, baobabstep.Code) {
 	p := r.index.Load().pools[q.Service.ID]
 	if p == nil {
 		return 0, baobabstep.CodeNoTarget
@@ -222,7 +222,7 @@
 }
 
 // pickSlot scans the whole group, which has at most about maxGroupTargets.
-func (p *pool) pickSlot(now time.Time, q *Slot) *entry {
+func (p *pool) pickSlot(now time.Time, q *SlotQuery) *entry {
 	var best *entry
 	bestScore := 0.0
 	for _, e := range p.group(q.Group, q.Groups) {
@@ -252,7 +252,7 @@
 // network delay is small against a request's service time, and a preference
 // would load the dispatcher's own targets twice as much as the rest. An
 // excluded target is only picked if there is no other.
-func (e *entry) slotScore(now time.Time, q *Slot) float64 {
+func (e *entry) slotScore(now time.Time, q *SlotQuery) float64 {
 	score := float64(e.slotsUsed) / float64(max(1, e.slotLimit(now)))
 	if e.target.ID == q.Exclude {
 		score += 2
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -139,7 +139,7 @@
 // hashes, so that all VMs agree and group sizes differ by at most one: a
 // smaller group would shed requests while others have room.
 func (p *pool) assignGroups() {
-	p.groups = make([][]*entry, Groups(len(p.entries)))
+	p.groups = make([][]*entry, GroupCount(len(p.entries)))
 	if len(p.groups) == 1 {
 		for _, e := range p.entries {
 			e.group = 0
--- a/core/target/size_bench_test.go
+++ b/core/target/size_bench_test.go
@@ -93,12 +93,12 @@
 					s := &c.Services[random.IntN(len(c.Services))]
 					from.FlowOpened(now, s.Targets[0].ID)
 				}
-				body := from.News(now, 1200)
+				body := from.EncodeGossip(now, 1200)
 				if body == nil {
 					continue
 				}
 				bytes += len(body)
-				if _, err := to.Learn(now, baobabstep.MakeVMID("vm-0"), body); err != nil {
+				if _, err := to.HandleGossip(now, baobabstep.MakeVMID("vm-0"), body); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -120,7 +120,7 @@
 					now = now.Add(100 * time.Millisecond)
 					for _, id := range r.ProbeTargets(now) {
 						probes++
-						r.Report(now, id, baobabstep.TargetReport{Healthy: true})
+						r.RecordReport(now, id, baobabstep.TargetReport{Healthy: true})
 					}
 				}
 			}
--- a/core/target/state.go
+++ b/core/target/state.go
@@ -29,8 +29,8 @@
 	Panicking bool `json:"panicking"`
 }
 
-// Table returns the state of all targets, sorted by name.
-func (r *Registry) Table(now time.Time) []State {
+// States returns the state of all targets, sorted by name.
+func (r *Registry) States(now time.Time) []State {
 	x := r.index.Load()
 	states := make([]State, 0, len(x.targets))
 	for _, p := range x.pools {
--- a/core/target/target.go
+++ b/core/target/target.go
@@ -16,7 +16,7 @@
 // # Counts
 //
 // Each VM counts the flows that it holds on each target and gossips the counts
-// to the other VMs ([Registry.News], [Registry.Learn]).
+// to the other VMs ([Registry.EncodeGossip], [Registry.HandleGossip]).
 // The load of a target is the larger of (own count + counts of the others) and
 // (last report + own flows opened since). Both sums lag, so the least loaded
 // target of all is never chosen: of two targets drawn at random the less loaded
--- a/core/target/target_test.go
+++ b/core/target/target_test.go
@@ -88,11 +88,11 @@
 		tell func(r *Registry)
 	}{
 		{"own report", func(r *Registry) {
-			r.Report(epoch, first, baobabstep.TargetReport{Healthy: true, Draining: true})
+			r.RecordReport(epoch, first, baobabstep.TargetReport{Healthy: true, Draining: true})
 		}},
 		{"refusal", func(r *Registry) { r.Outcome(epoch, first, baobabstep.CodeTargetLeaving, 0) }},
-		{"platform", func(r *Registry) { r.Leaving(epoch, first, SourcePlatform, true) }},
-		{"operator", func(r *Registry) { r.Leaving(epoch, first, SourceOperator, true) }},
+		{"platform", func(r *Registry) { r.SetLeaving(epoch, first, SourcePlatform, true) }},
+		{"operator", func(r *Registry) { r.SetLeaving(epoch, first, SourceOperator, true) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -112,14 +112,14 @@
 	r.SetConfig(epoch, testConfig(s))
 	used := make(map[baobabstep.TargetID]int)
 	for range 6 {
-		id, code := r.PickSlot(epoch, Slot{Service: &s, Groups: 1})
+		id, code := r.PickSlot(epoch, SlotQuery{Service: &s, Groups: 1})
 		qt.Assert(t, code, qt.Equals, baobabstep.CodeOK)
 		used[id]++
 	}
 	for id, n := range used {
 		qt.Assert(t, n, qt.Equals, 2, qt.Commentf("target %v", id))
 	}
-	_, code := r.PickSlot(epoch, Slot{Service: &s, Groups: 1})
+	_, code := r.PickSlot(epoch, SlotQuery{Service: &s, Groups: 1})
 	qt.Assert(t, code, qt.Equals, baobabstep.CodeNoCapacity)
 }
 
@@ -131,34 +131,34 @@
 		r.SetView(epoch, testView(3, dataCentre))
 	}
 	first := s.Targets[0].ID
-	a.Leaving(epoch, first, SourcePlatform, true)
+	a.SetLeaving(epoch, first, SourcePlatform, true)
 	for draw := range uint64(40) {
 		a.PickFlow(epoch, &s, dataCentre, draw)
 	}
-	news := a.News(epoch, 1000)
+	news := a.EncodeGossip(epoch, 1000)
 	for range 2 { // Doubled messages count once.
 		handleGossip(t, b, epoch, vmID(0), news)
 	}
 	total := 0
-	for _, state := range b.Table(epoch) {
+	for _, state := range b.States(epoch) {
 		total += state.Load
 		qt.Assert(t, state.Usable, qt.Equals, state.Target != first)
 	}
 	qt.Assert(t, total, qt.Equals, 40)
 	b.SetView(epoch, &baobabstep.View{Members: testView(3, dataCentre).Members[1:]})
-	for _, state := range b.Table(epoch) {
+	for _, state := range b.States(epoch) {
 		qt.Assert(t, state.Load, qt.Equals, 0)
 	}
 }
 
 func handleGossip(t testing.TB, r *Registry, now time.Time, from baobabstep.VMID, news []byte) {
 	t.Helper()
-	reply, err := r.Learn(now, from, news)
+	reply, err := r.HandleGossip(now, from, news)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, reply, qt.IsNil)
 }
 
 func handleGossipCode(r *Registry, now time.Time, from baobabstep.VMID, news []byte) baobabstep.Code {
-	_, err := r.Learn(now, from, news)
+	_, err := r.HandleGossip(now, from, news)
 	return baobabstep.CodeOf(err)
 }
--- a/core/token/answers_test.go
+++ b/core/token/answers_test.go
@@ -39,7 +39,7 @@
 	send(30, baobabstep.KindData, 2547, 829, 0)
 	send(30, baobabstep.KindClose, 2546, 828, 0)
 	for ms := 100; ms <= 900; ms += 100 {
-		r.Tick(start.Add(time.Duration(ms)*time.Millisecond), new([]baobabstep.Forward))
+		r.Tick(start.Add(time.Duration(ms)*time.Millisecond), new([]baobabstep.OutgoingDatagram))
 	}
 	qt.Assert(t, countedOutcomes(r), qt.DeepEquals, map[string]uint64{"answered": 1})
 	own, _ := r.current.Load().targets[3].load.requests(start.Add(30 * time.Millisecond))
@@ -67,7 +67,7 @@
 			s.Kind, s.Seq, s.Size = test.last, 1101, 0
 			handle(r, start.Add(100*time.Millisecond), s)
 			for ms := 200; ms <= 1200; ms += 100 {
-				r.Tick(start.Add(time.Duration(ms)*time.Millisecond), new([]baobabstep.Forward))
+				r.Tick(start.Add(time.Duration(ms)*time.Millisecond), new([]baobabstep.OutgoingDatagram))
 			}
 			qt.Assert(t, countedOutcomes(r), qt.DeepEquals, test.want)
 		})
--- a/core/token/avoid_test.go
+++ b/core/token/avoid_test.go
@@ -15,24 +15,24 @@
 // Evidence that one broken link, a lost datagram or an overload can explain does not.
 func TestReportsOfSeveralVMs(t *testing.T) {
 	now := start.Add(time.Minute)
-	repeated := baobabstep.Silence{Unanswered: 1, LeftAt: now}
-	opened := baobabstep.Silence{Unanswered: 1, Opens: 1, LeftAt: now}
-	old := baobabstep.Silence{Unanswered: 1, Opens: 1, LeftAt: now.Add(-evidenceLifetime)}
-	manyOfOne := baobabstep.Silence{Unanswered: 40, Opens: 40, LeftAt: now}
+	repeated := baobabstep.SilenceReport{Unanswered: 1, LastUnansweredAt: now}
+	opened := baobabstep.SilenceReport{Unanswered: 1, UnansweredOpens: 1, LastUnansweredAt: now}
+	old := baobabstep.SilenceReport{Unanswered: 1, UnansweredOpens: 1, LastUnansweredAt: now.Add(-evidenceLifetime)}
+	manyOfOne := baobabstep.SilenceReport{Unanswered: 40, UnansweredOpens: 40, LastUnansweredAt: now}
 	for _, test := range []struct {
 		name        string
-		reports     []baobabstep.Silence
+		reports     []baobabstep.SilenceReport
 		heardAgo    time.Duration // when another VM last heard from it
 		unreachable bool
 		suspect     bool
 	}{
-		{"three VMs, one first segment", []baobabstep.Silence{repeated, repeated, opened}, time.Hour, true, true},
-		{"three VMs, an overload: it accepts flows", []baobabstep.Silence{repeated, repeated, repeated}, time.Hour, false, false},
-		{"two VMs, datagrams may be lost", []baobabstep.Silence{opened, opened}, time.Hour, false, true},
-		{"one VM, whose link is full", []baobabstep.Silence{manyOfOne}, time.Hour, false, true},
-		{"three VMs, but one report has expired", []baobabstep.Silence{repeated, opened, old}, time.Hour, false, true},
-		{"three VMs, but a fourth has heard from it since", []baobabstep.Silence{repeated, opened, opened}, 100 * time.Millisecond, false, false},
-		{"three VMs, a fourth heard from it before", []baobabstep.Silence{repeated, opened, opened}, callerCopyDelay, true, true},
+		{"three VMs, one first segment", []baobabstep.SilenceReport{repeated, repeated, opened}, time.Hour, true, true},
+		{"three VMs, an overload: it accepts flows", []baobabstep.SilenceReport{repeated, repeated, repeated}, time.Hour, false, false},
+		{"two VMs, datagrams may be lost", []baobabstep.SilenceReport{opened, opened}, time.Hour, false, true},
+		{"one VM, whose link is full", []baobabstep.SilenceReport{manyOfOne}, time.Hour, false, true},
+		{"three VMs, but one report has expired", []baobabstep.SilenceReport{repeated, opened, old}, time.Hour, false, true},
+		{"three VMs, but a fourth has heard from it since", []baobabstep.SilenceReport{repeated, opened, opened}, 100 * time.Millisecond, false, false},
+		{"three VMs, a fourth heard from it before", []baobabstep.SilenceReport{repeated, opened, opened}, callerCopyDelay, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := health{reports: test.reports, othersHeardAt: now.Add(-test.heardAgo)}
@@ -48,13 +48,13 @@
 // follow.
 func TestProbeOfTargetWithUnansweredRequests(t *testing.T) {
 	now := start.Add(time.Minute)
-	repeated := baobabstep.Silence{Unanswered: 1, LeftAt: now}
-	h := health{reports: []baobabstep.Silence{repeated, repeated}}
+	repeated := baobabstep.SilenceReport{Unanswered: 1, LastUnansweredAt: now}
+	h := health{reports: []baobabstep.SilenceReport{repeated, repeated}}
 	qt.Assert(t, h.needsProbe(now), qt.IsTrue)
 	h.noteTrial(now)
 	qt.Assert(t, h.needsProbe(now), qt.IsFalse)
-	for _, found := range []baobabstep.Silence{{Unanswered: 1, Opens: 1, LeftAt: now}, {Unanswered: 1, Vanished: 1, LeftAt: now}} {
-		h := health{reports: []baobabstep.Silence{repeated, repeated, found}}
+	for _, found := range []baobabstep.SilenceReport{{Unanswered: 1, UnansweredOpens: 1, LastUnansweredAt: now}, {Unanswered: 1, NotRetransmitted: 1, LastUnansweredAt: now}} {
+		h := health{reports: []baobabstep.SilenceReport{repeated, repeated, found}}
 		qt.Assert(t, h.needsProbe(now), qt.IsFalse)
 		qt.Assert(t, h.suspect(now), qt.IsTrue)
 	}
@@ -103,7 +103,7 @@
 		h := avoided()
 		h.setSilence(baobabstep.TargetLoad{HeardAt: later})
 		qt.Assert(t, h.suspect(later), qt.IsFalse)
-		h.setSilence(baobabstep.TargetLoad{Silence: silenceReports(2, 1, later.Add(time.Second)), HeardAt: later})
+		h.setSilence(baobabstep.TargetLoad{SilenceReports: silenceReports(2, 1, later.Add(time.Second)), HeardAt: later})
 		h.startAvoidance(later.Add(time.Second), 10, 0.1)
 		qt.Assert(t, h.fleetTrialInterval, qt.Equals, 2*minTrialPause)
 	})
@@ -116,7 +116,7 @@
 		told := r.TakeUrgentReports(later)
 		qt.Assert(t, told, qt.HasLen, 1)
 		qt.Assert(t, told[0].HeardAt, qt.Equals, later)
-		qt.Assert(t, told[0].Disputed, qt.IsTrue)
+		qt.Assert(t, told[0].ReportedSilent, qt.IsTrue)
 	})
 }
 
@@ -146,12 +146,12 @@
 	now := start.Add(time.Second)
 	unreachable := r.current.Load().targets[1]
 	r.current.Load().targets[2].load.noteAnswer(now)
-	tick := func() (ended []baobabstep.Forward) {
+	tick := func() (ended []baobabstep.OutgoingDatagram) {
 		r.Tick(now, &ended)
 		return ended
 	}
 	qt.Assert(t, tick(), qt.HasLen, 0)
-	unreachable.load.setSilence(baobabstep.TargetLoad{Silence: silenceReports(3, 1, now)})
+	unreachable.load.setSilence(baobabstep.TargetLoad{SilenceReports: silenceReports(3, 1, now)})
 	ended := tick()
 	qt.Assert(t, ended, qt.HasLen, 1)
 	qt.Assert(t, ended[0].Flow, qt.Equals, waiting.Flow)
--- a/core/token/choose_test.go
+++ b/core/token/choose_test.go
@@ -85,7 +85,7 @@
 func TestSlowColdTargetGetsFewerFlows(t *testing.T) {
 	r := newRouter(t)
 	list := manyTargets(10)
-	list[5].ColdFor = time.Minute
+	list[5].WarmupLeft = time.Minute
 	r.SetRegistrations(start, list)
 	service := r.current.Load().services.get("fixtures")
 	for range 2 * minMeanAnswers {
@@ -102,7 +102,7 @@
 func TestFastColdTargetGetsEqualShare(t *testing.T) {
 	r := newRouter(t)
 	list := manyTargets(10)
-	list[5].ColdFor = time.Minute
+	list[5].WarmupLeft = time.Minute
 	r.SetRegistrations(start, list)
 	openMany(t, r, start, 1, 400)
 	got := openMany(t, r, start.Add(time.Second), 1000, 400)
--- a/core/token/cold_test.go
+++ b/core/token/cold_test.go
@@ -21,7 +21,7 @@
 
 func cold(id baobabstep.TargetID, dataCentre string, left time.Duration) baobabstep.Registration {
 	r := registration(id, "fixtures", dataCentre)
-	r.ColdFor = left
+	r.WarmupLeft = left
 	return r
 }
 
--- a/core/token/fleet_model_test.go
+++ b/core/token/fleet_model_test.go
@@ -115,9 +115,9 @@
 }
 
 // send passes a segment to a random VM and returns what that VM sends.
-func (m *fleetModel) send(f *modelFlow, s baobabstep.Segment) *baobabstep.Forward {
+func (m *fleetModel) send(f *modelFlow, s baobabstep.Segment) *baobabstep.OutgoingDatagram {
 	s.Flow = f.key
-	var out []baobabstep.Forward
+	var out []baobabstep.OutgoingDatagram
 	m.routers[m.random.IntN(len(m.routers))].Handle(m.now, &s, &out)
 	if len(out) > 1 {
 		m.t.Fatalf("one segment became %d", len(out))
@@ -196,7 +196,7 @@
 }
 
 // checkEnded checks the flows that a VM reset without a packet from the caller.
-func (m *fleetModel) checkEnded(ended []baobabstep.Forward) {
+func (m *fleetModel) checkEnded(ended []baobabstep.OutgoingDatagram) {
 	for _, reset := range ended {
 		for _, f := range slices.Clone(m.flows) {
 			if f.key == reset.Flow {
@@ -222,7 +222,7 @@
 			m.request(f)
 		}
 		for _, r := range m.routers {
-			var ended []baobabstep.Forward
+			var ended []baobabstep.OutgoingDatagram
 			r.Tick(m.now, &ended)
 			m.checkEnded(ended)
 			r.SetReports(m.now, nil, nil)
--- a/core/token/flow_bench_test.go
+++ b/core/token/flow_bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkSegments(b *testing.B) {
 	r := newRouter(b)
 	r.SetRegistrations(start, manyTargets(18))
-	var out []baobabstep.Forward
+	var out []baobabstep.OutgoingDatagram
 	now := start
 	const perFlow = 5
 	segments := 0
@@ -32,7 +32,7 @@
 		}
 		segments += perFlow
 		if port%100 == 0 {
-			r.Tick(now, new([]baobabstep.Forward))
+			r.Tick(now, new([]baobabstep.OutgoingDatagram))
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(segments), "ns/segment")
--- a/core/token/follow.go
+++ b/core/token/follow.go
@@ -84,7 +84,7 @@
 // and reports whether it did. If the target acknowledged the request, the caller sends no
 // copy that the VM could answer with a reset, and waits for its timeout: 2 s for an answer
 // that takes 30 ms.
-func (r *Router) endStrandedFlow(now time.Time, s *snapshot, f *flow, out *[]baobabstep.Forward) bool {
+func (r *Router) endStrandedFlow(now time.Time, s *snapshot, f *flow, out *[]baobabstep.OutgoingDatagram) bool {
 	if !f.answerPending || f.opening || f.closed || !r.enabled(MechanismEndFlows) {
 		return false
 	}
--- a/core/token/health.go
+++ b/core/token/health.go
@@ -62,7 +62,7 @@
 	// kind openRepeated and openVanished among them.
 	unanswered, opens, vanished int
 	// reports are the reports of other VMs of the data centre that found the target silent.
-	reports []baobabstep.Silence
+	reports []baobabstep.SilenceReport
 	// othersHeardAt is when one of these VMs last heard from the target, by their reports.
 	othersHeardAt time.Time
 	// heardAt is when this VM last heard from the target, unansweredAt when the target last
@@ -80,7 +80,7 @@
 // setSilence sets the reports of other VMs, and reports whether one of them heard from the
 // target and so ended an avoidance.
 func (h *health) setSilence(report baobabstep.TargetLoad) (resumed bool) {
-	h.reports, h.othersHeardAt = report.Silence, report.HeardAt
+	h.reports, h.othersHeardAt = report.SilenceReports, report.HeardAt
 	if h.avoidUntil.IsZero() || !h.othersHeardAt.After(h.avoidedAt) {
 		return false
 	}
@@ -147,14 +147,14 @@
 		return silenceSummary{}
 	}
 	for _, r := range h.reports {
-		sentAt := r.LeftAt.Add(-callerCopyDelay)
-		if now.Sub(r.LeftAt) >= evidenceLifetime || h.heardAt.After(sentAt) || h.othersHeardAt.After(sentAt) {
+		sentAt := r.LastUnansweredAt.Add(-callerCopyDelay)
+		if now.Sub(r.LastUnansweredAt) >= evidenceLifetime || h.heardAt.After(sentAt) || h.othersHeardAt.After(sentAt) {
 			continue
 		}
 		sum.vms++
 		sum.unanswered += min(r.Unanswered, maxCountPerVM)
-		sum.opens += min(r.Opens, maxCountPerVM)
-		sum.vanished += min(r.Vanished, maxCountPerVM)
+		sum.opens += min(r.UnansweredOpens, maxCountPerVM)
+		sum.vanished += min(r.NotRetransmitted, maxCountPerVM)
 	}
 	return sum
 }
--- a/core/token/health_test.go
+++ b/core/token/health_test.go
@@ -222,9 +222,9 @@
 
 // silenceReports returns the reports of some VMs, each of which found the given number of
 // flows unanswered, all from their first segments on.
-func silenceReports(vms, flows int, leftAt time.Time) (reports []baobabstep.Silence) {
+func silenceReports(vms, flows int, leftAt time.Time) (reports []baobabstep.SilenceReport) {
 	for range vms {
-		reports = append(reports, baobabstep.Silence{Unanswered: flows, Opens: flows, LeftAt: leftAt})
+		reports = append(reports, baobabstep.SilenceReport{Unanswered: flows, UnansweredOpens: flows, LastUnansweredAt: leftAt})
 	}
 	return reports
 }
@@ -346,7 +346,7 @@
 		open(t, r, now, flowFrom(port+2, results))
 	}
 	later := now.Add(vanishTimeout)
-	r.Tick(later, new([]baobabstep.Forward))
+	r.Tick(later, new([]baobabstep.OutgoingDatagram))
 	flows, opens := r.current.Load().targets[3].load.unansweredCounts()
 	qt.Assert(t, flows, qt.Equals, 20)
 	qt.Assert(t, opens, qt.Equals, 0)
@@ -376,8 +376,8 @@
 				test.then(r, key, token)
 			}
 			now := start.Add(vanishTimeout)
-			r.Tick(now, new([]baobabstep.Forward))
-			r.Tick(now, new([]baobabstep.Forward))
+			r.Tick(now, new([]baobabstep.OutgoingDatagram))
+			r.Tick(now, new([]baobabstep.OutgoingDatagram))
 			qt.Assert(t, r.current.Load().targets[3].load.suspect(now), qt.Equals, test.suspect)
 		})
 	}
--- a/core/token/helpers_test.go
+++ b/core/token/helpers_test.go
@@ -58,8 +58,8 @@
 }
 
 // handle returns what the router sends for one segment.
-func handle(r *Router, now time.Time, s baobabstep.Segment) []baobabstep.Forward {
-	var out []baobabstep.Forward
+func handle(r *Router, now time.Time, s baobabstep.Segment) []baobabstep.OutgoingDatagram {
+	var out []baobabstep.OutgoingDatagram
 	r.Handle(now, &s, &out)
 	return out
 }
--- a/core/token/load.go
+++ b/core/token/load.go
@@ -64,9 +64,9 @@
 	report.Requests, _ = l.requests(now)
 	sample, callers, notable := l.answerReport(now, mean)
 	if notable {
-		report.Answers, report.Failed, report.Took, report.Callers = sample.Answers, sample.Failed, sample.Latency, uint16(callers)
+		report.Answers, report.Failed, report.MeanDuration, report.Callers = sample.Answers, sample.Failed, sample.Latency, uint16(callers)
 	}
-	active = report.Requests >= minReportedRequests || sample.Answers >= minReportedFailures || report.Unanswered > 0 || report.Disputed
+	active = report.Requests >= minReportedRequests || sample.Answers >= minReportedFailures || report.Unanswered > 0 || report.ReportedSilent
 	return report, active
 }
 
@@ -215,9 +215,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := &l.health
-	report := baobabstep.TargetLoad{HeardAt: h.heardAt, Disputed: len(h.reports) > 0 || h.recentlyAvoided(now)}
+	report := baobabstep.TargetLoad{HeardAt: h.heardAt, ReportedSilent: len(h.reports) > 0 || h.recentlyAvoided(now)}
 	if now.Sub(h.unansweredAt) < evidenceLifetime {
-		report.Unanswered, report.Opens, report.Vanished, report.LeftAt = h.unanswered, h.opens, h.vanished, h.unansweredAt
+		report.Unanswered, report.UnansweredOpens, report.NotRetransmitted, report.LastUnansweredAt = h.unanswered, h.opens, h.vanished, h.unansweredAt
 	}
 	return report
 }
@@ -272,11 +272,11 @@
 func (l *load) setReport(report baobabstep.TargetLoad) (resumed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(report.Silence) > 0 {
+	if len(report.SilenceReports) > 0 {
 		l.markActive()
 	}
 	l.otherRequests = report.Requests
-	l.otherAnswers = answer.Sample{Answers: report.Answers, Failed: report.Failed, Latency: report.Took}
+	l.otherAnswers = answer.Sample{Answers: report.Answers, Failed: report.Failed, Latency: report.MeanDuration}
 	l.otherCallers = answer.CallerSet(report.Callers)
 	return l.health.setSilence(report)
 }
--- a/core/token/restart_test.go
+++ b/core/token/restart_test.go
@@ -12,7 +12,7 @@
 // targetsWithRun returns threeTargets with the given run of target 1.
 func targetsWithRun(life uint64) []baobabstep.Registration {
 	list := threeTargets()
-	list[0].Life = life
+	list[0].StartedMS = life
 	list[1].Draining = true // new flows then go to target 1
 	return list
 }
@@ -34,7 +34,7 @@
 	qt.Assert(t, before.load.suspect(later), qt.IsTrue)
 
 	list := targetsWithRun(2)
-	list[0].ColdFor = 2 * time.Second
+	list[0].WarmupLeft = 2 * time.Second
 	r.SetRegistrations(later, list)
 	now := r.current.Load().targets[1]
 	qt.Assert(t, now.load.suspect(later), qt.IsFalse)
@@ -46,7 +46,7 @@
 		qt.Assert(t, now.load.flows.Load(), qt.Equals, int32(1))
 	})
 	t.Run("reports of VMs that do not know the new run are ignored", func(t *testing.T) {
-		old := map[baobabstep.TargetID]baobabstep.TargetLoad{1: {Silence: silenceReports(3, 9, later.Add(newRunGrace))}}
+		old := map[baobabstep.TargetID]baobabstep.TargetLoad{1: {SilenceReports: silenceReports(3, 9, later.Add(newRunGrace))}}
 		r.SetReports(start, old, map[string]int{"a": 3, "b": 1})
 		qt.Assert(t, now.load.suspect(later.Add(newRunGrace-1)), qt.IsFalse)
 		qt.Assert(t, now.load.suspect(later.Add(newRunGrace)), qt.IsTrue)
--- a/core/token/router.go
+++ b/core/token/router.go
@@ -206,10 +206,10 @@
 		report.Requests = 0
 	}
 	if !r.enabled(MechanismWitnesses) {
-		report.Silence, report.HeardAt = nil, time.Time{}
+		report.SilenceReports, report.HeardAt = nil, time.Time{}
 	}
 	if !r.enabled(MechanismSharedAnswers) {
-		report.Answers, report.Failed, report.Took, report.Callers = 0, 0, 0, 0
+		report.Answers, report.Failed, report.MeanDuration, report.Callers = 0, 0, 0, 0
 	}
 	return report
 }
@@ -249,7 +249,7 @@
 
 // Handle decides what to do with one packet of a caller and appends the datagrams to send
 // to out.
-func (r *Router) Handle(now time.Time, p *baobabstep.Segment, out *[]baobabstep.Forward) {
+func (r *Router) Handle(now time.Time, p *baobabstep.Segment, out *[]baobabstep.OutgoingDatagram) {
 	s := r.current.Load()
 	if !s.ready() {
 		r.record(now, EventUnready, s, nil, nil, p)
@@ -268,7 +268,7 @@
 }
 
 // resetUnrouted resets a flow whose address has no route, or no route any more.
-func (r *Router) resetUnrouted(now time.Time, s *snapshot, h flowHash, p *baobabstep.Segment, out *[]baobabstep.Forward) {
+func (r *Router) resetUnrouted(now time.Time, s *snapshot, h flowHash, p *baobabstep.Segment, out *[]baobabstep.OutgoingDatagram) {
 	r.record(now, EventUnrouted, s, nil, nil, p)
 	shard := r.flows.shard(h)
 	shard.mu.Lock()
@@ -280,13 +280,13 @@
 }
 
 // appendReset appends a reset of the packet's flow to its caller.
-func appendReset(p *baobabstep.Segment, out *[]baobabstep.Forward) {
-	*out = append(*out, baobabstep.Forward{Flow: p.Flow, Seq: p.Acked})
+func appendReset(p *baobabstep.Segment, out *[]baobabstep.OutgoingDatagram) {
+	*out = append(*out, baobabstep.OutgoingDatagram{Flow: p.Flow, Seq: p.Acked})
 }
 
 // openFlow places the flow of a first packet. A copy of a first packet goes to the target
 // that the first one went to, unless the flow has to move.
-func (r *Router) openFlow(now time.Time, s *snapshot, route *rule, h flowHash, p *baobabstep.Segment, out *[]baobabstep.Forward) {
+func (r *Router) openFlow(now time.Time, s *snapshot, route *rule, h flowHash, p *baobabstep.Segment, out *[]baobabstep.OutgoingDatagram) {
 	shard := r.flows.shard(h)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -327,7 +327,7 @@
 }
 
 // forwardEstablished sends a later packet to the target that its token names.
-func (r *Router) forwardEstablished(now time.Time, s *snapshot, route *rule, h flowHash, p *baobabstep.Segment, out *[]baobabstep.Forward) {
+func (r *Router) forwardEstablished(now time.Time, s *snapshot, route *rule, h flowHash, p *baobabstep.Segment, out *[]baobabstep.OutgoingDatagram) {
 	t := s.find(now, route, h, p.Token)
 	if t == nil {
 		r.record(now, EventUnknownToken, s, route, nil, p)
@@ -346,15 +346,15 @@
 	appendForward(t, h, p, out)
 }
 
-func appendForward(t *target, h flowHash, p *baobabstep.Segment, out *[]baobabstep.Forward) {
-	*out = append(*out, baobabstep.Forward{
+func appendForward(t *target, h flowHash, p *baobabstep.Segment, out *[]baobabstep.OutgoingDatagram) {
+	*out = append(*out, baobabstep.OutgoingDatagram{
 		Target: t.id, Address: t.registration.Address, Token: tokenFor(h, t.id), Raw: p.Raw,
 	})
 }
 
 // Tick drops idle flow records, reviews the verdicts of targets, and resets flows whose
 // requests will not be answered because their targets are unreachable.
-func (r *Router) Tick(now time.Time, out *[]baobabstep.Forward) {
+func (r *Router) Tick(now time.Time, out *[]baobabstep.OutgoingDatagram) {
 	s := r.current.Load()
 	idle := r.options.IdleTimeout
 	if s.idleTimeout > 0 {
--- a/core/token/router_test.go
+++ b/core/token/router_test.go
@@ -203,7 +203,7 @@
 	t.Run("other registration changes do not end the drain", func(t *testing.T) {
 		r := restored(t, noChange)
 		for _, list := range [][]baobabstep.Registration{threeTargets()[:1], threeTargets()[1:2]} {
-			list[0].ColdFor = time.Second
+			list[0].WarmupLeft = time.Second
 			r.ChangeRegistrations(back.Add(time.Second), list, nil)
 		}
 		assertReset(t, r, back.Add(ReregistrationGrace-1), segment)
@@ -214,7 +214,7 @@
 	t.Run("not for another run", func(t *testing.T) {
 		r := restored(t, noChange)
 		again := threeTargets()[:1]
-		again[0].Life = 7
+		again[0].StartedMS = 7
 		r.ChangeRegistrations(back, again, nil)
 		open(t, r, back, segment.Flow)
 	})
@@ -234,9 +234,9 @@
 func TestStaleRunIsIgnoredAfterRestore(t *testing.T) {
 	back := start.Add(10 * time.Second)
 	cold := registration(1, "fixtures", "a")
-	cold.Life, cold.ColdFor = 200, 20*time.Second
+	cold.StartedMS, cold.WarmupLeft = 200, 20*time.Second
 	warm := cold
-	warm.Life, warm.ColdFor = 100, 0
+	warm.StartedMS, warm.WarmupLeft = 100, 0
 	known := func(t *testing.T, list ...baobabstep.Registration) *Router {
 		r := newRouter(t)
 		r.SetRegistrations(start, list)
@@ -247,19 +247,19 @@
 		r.StoreRestored(back)
 		r.SetRegistrations(back, []baobabstep.Registration{warm})
 		held := r.current.Load().targets[1]
-		qt.Assert(t, held.registration.Life, qt.Equals, cold.Life)
+		qt.Assert(t, held.registration.StartedMS, qt.Equals, cold.StartedMS)
 		qt.Assert(t, held.isCold(back), qt.IsTrue)
 	})
 	t.Run("a later run is accepted", func(t *testing.T) {
 		r := known(t, warm)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, []baobabstep.Registration{cold})
-		qt.Assert(t, r.current.Load().targets[1].registration.Life, qt.Equals, cold.Life)
+		qt.Assert(t, r.current.Load().targets[1].registration.StartedMS, qt.Equals, cold.StartedMS)
 	})
 	t.Run("an earlier run is accepted without a restore", func(t *testing.T) {
 		r := known(t, cold)
 		r.SetRegistrations(back, []baobabstep.Registration{warm})
-		qt.Assert(t, r.current.Load().targets[1].registration.Life, qt.Equals, warm.Life)
+		qt.Assert(t, r.current.Load().targets[1].registration.StartedMS, qt.Equals, warm.StartedMS)
 	})
 	segment := baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: flowFrom(1, fixtures)}
 	t.Run("a target that was gone gets no flow", func(t *testing.T) {
@@ -308,11 +308,11 @@
 	qt.Assert(t, load(), qt.Equals, int32(0))
 	handle(r, start, data(key, token))
 	qt.Assert(t, load(), qt.Equals, int32(0))
-	r.Tick(start.Add(closedRetention), new([]baobabstep.Forward))
+	r.Tick(start.Add(closedRetention), new([]baobabstep.OutgoingDatagram))
 	qt.Assert(t, r.Stats().Flows, qt.Equals, 0)
 
 	open(t, r, start, flowFrom(2, results))
-	r.Tick(start.Add(r.options.IdleTimeout), new([]baobabstep.Forward))
+	r.Tick(start.Add(r.options.IdleTimeout), new([]baobabstep.OutgoingDatagram))
 	qt.Assert(t, load(), qt.Equals, int32(0))
 }
 
--- a/core/token/snapshot.go
+++ b/core/token/snapshot.go
@@ -89,7 +89,7 @@
 }
 
 func newRule(from *baobabstep.Rule) *rule {
-	r := &rule{name: from.Name, repeatable: from.Repeatable, aim: from.Aim, answerSizes: new(answer.SizeHistogram), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
+	r := &rule{name: from.Name, repeatable: from.Repeatable, aim: from.LatencyObjective, answerSizes: new(answer.SizeHistogram), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
 	for _, share := range from.Shares {
 		r.totalWeight += share.Weight
 		r.services[share.Service] = noExpiry
@@ -302,10 +302,10 @@
 func (s *snapshot) applyRegistration(now time.Time, r *baobabstep.Registration) *target {
 	t := &target{
 		id: r.ID, registration: *r, load: newLoad(now, r.ID, s.active), service: s.services.get(r.Service),
-		coldUntil: now.Add(r.ColdFor), evacuated: s.evacuated[r.DataCentre],
+		coldUntil: now.Add(r.WarmupLeft), evacuated: s.evacuated[r.DataCentre],
 	}
 	old := s.targets[r.ID]
-	if old != nil && s.inRestoreGrace(now) && r.Life < old.registration.Life {
+	if old != nil && s.inRestoreGrace(now) && r.StartedMS < old.registration.StartedMS {
 		return old
 	}
 	if !t.sameRun(old) {
@@ -315,7 +315,7 @@
 		}
 		return t
 	}
-	if r.Life != 0 && r.Service != old.registration.Service {
+	if r.StartedMS != 0 && r.Service != old.registration.Service {
 		return s.markMissing(now, old)
 	}
 	t.load = old.load
--- a/core/token/snapshot_test.go
+++ b/core/token/snapshot_test.go
@@ -52,7 +52,7 @@
 				}
 				r := registration(id, rapid.SampledFrom([]string{"fixtures", "results"}).Draw(t, "service"), "a")
 				r.Draining = rapid.Bool().Draw(t, "draining")
-				r.ColdFor = time.Duration(rapid.IntRange(0, 3).Draw(t, "cold")) * time.Second
+				r.WarmupLeft = time.Duration(rapid.IntRange(0, 3).Draw(t, "cold")) * time.Second
 				put = append(put, r)
 				there[id] = r
 			}
--- a/core/token/target.go
+++ b/core/token/target.go
@@ -46,7 +46,7 @@
 // Only the verdict on its answers is kept, so that a target that fails, restarts and fails
 // again is detected sooner.
 func (t *target) sameRun(other *target) bool {
-	return other != nil && t.id == other.id && t.registration.Life == other.registration.Life
+	return other != nil && t.id == other.id && t.registration.StartedMS == other.registration.StartedMS
 }
 
 // pool holds the targets of one service, including missing ones, sorted by identifier.
--- a/core/token/targetset_test.go
+++ b/core/token/targetset_test.go
@@ -17,7 +17,7 @@
 	qt.Assert(t, r.TakeNewTargets(), qt.DeepEquals, []baobabstep.TargetID{1, 2, 3})
 	qt.Assert(t, r.TakeNewTargets(), qt.HasLen, 0)
 	again := registration(2, "fixtures", "b")
-	again.Life = 7
+	again.StartedMS = 7
 	r.ChangeRegistrations(start, []baobabstep.Registration{again, registration(3, "results", "a"), registration(4, "results", "a")}, nil)
 	qt.Assert(t, r.TakeNewTargets(), qt.DeepEquals, []baobabstep.TargetID{2, 4})
 }
--- a/directory.go
+++ b/directory.go
@@ -63,8 +63,8 @@
 	// Repeatable says that requests of the rule may be retried after any
 	// failure.
 	Repeatable bool
-	// Aim is the latency that callers expect; 0 if not set.
-	Aim time.Duration
+	// LatencyObjective is the latency that callers expect; 0 if not set.
+	LatencyObjective time.Duration
 	// Priority orders rules by urgency; 0 is the most urgent.
 	Priority int
 	// Shares is never empty.
@@ -82,11 +82,11 @@
 	// ID identifies the target. A restarted target has another ID, or the same
 	// with another start time.
 	ID TargetID
-	// Life is the start time of the target's process in Unix milliseconds
+	// StartedMS is the start time of the target's process in Unix milliseconds
 	// by its own clock; 0 if unknown. A restarted target holds none of its
 	// earlier flows.
-	Life    uint64
-	Service string
+	StartedMS uint64
+	Service   string
 	// Address receives packets of flows.
 	Address    netip.AddrPort
 	DataCentre string
@@ -96,15 +96,15 @@
 	Slots int
 	// Draining is set once the target plans to leave.
 	Draining bool
-	// ColdFor is how much longer the target stays slow after its start.
-	ColdFor time.Duration
+	// WarmupLeft is how much longer the target stays slow after its start.
+	WarmupLeft time.Duration
 }
 
 // RegistrationChange is one change of the registrations. After a removal only
 // the registration's ID is set.
 type RegistrationChange struct {
 	Registration Registration
-	Gone         bool
+	Removed      bool
 	// Revision is the store's revision of the change.
 	Revision Revision
 }
@@ -174,34 +174,34 @@
 	// Requests is the number of recent requests, weighted by age.
 	Requests float64
 	// Unanswered is the number of consecutive flows without an answer of the
-	// target; Opens counts those whose first segment had none.
-	Unanswered, Opens int
-	// Vanished counts those whose first segment was not even
+	// target; UnansweredOpens counts those whose first segment had none.
+	Unanswered, UnansweredOpens int
+	// NotRetransmitted counts those whose first segment was not even
 	// retransmitted: most likely the target refused them.
-	Vanished int
-	// LeftAt is when the target last left a flow unanswered.
-	LeftAt time.Time
-	// Silence, in a summary of other VMs, has the reports of each VM
+	NotRetransmitted int
+	// LastUnansweredAt is when the target last left a flow unanswered.
+	LastUnansweredAt time.Time
+	// SilenceReports, in a summary of other VMs, has the reports of each VM
 	// of the own data centre that found flows unanswered.
-	Silence []Silence
+	SilenceReports []SilenceReport
 	// HeardAt is when the target was last heard from; zero if never.
 	HeardAt time.Time
-	// Disputed says that other VMs report the target as silent.
-	Disputed bool
+	// ReportedSilent says that other VMs report the target as silent.
+	ReportedSilent bool
 	// Answers is the number of recent requests with a known outcome, Failed the
 	// number of those that failed as far as a VM can tell, both weighted by
 	// age, followed by the mean duration of the others. A summary of other VMs
 	// covers those of the own data centre only. All are 0 unless the target is
 	// an outlier.
 	Answers, Failed float64
-	Took            time.Duration
+	MeanDuration    time.Duration
 	// Callers is the set of callers whose requests failed; see package answer.
 	Callers uint16
 }
 
-// Silence is one VM's report of a target that left its flows
+// SilenceReport is one VM's report of a target that left its flows
 // unanswered. The fields are as in TargetLoad.
-type Silence struct {
-	Unanswered, Opens, Vanished int
-	LeftAt                      time.Time
+type SilenceReport struct {
+	Unanswered, UnansweredOpens, NotRetransmitted int
+	LastUnansweredAt                              time.Time
 }
--- a/emulator/target.go
+++ b/emulator/target.go
@@ -77,10 +77,10 @@
 
 func (t *target) registration() baobabstep.Registration {
 	return baobabstep.Registration{
-		ID: t.id, Life: t.life, Service: t.service.Name, DataCentre: t.world.deployment.DataCentres[t.site].Name,
+		ID: t.id, StartedMS: t.life, Service: t.service.Name, DataCentre: t.world.deployment.DataCentres[t.site].Name,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(t.site + 1), byte(t.id >> 8), byte(t.id)}), 8000),
 		Slots:   t.service.Slots, Draining: t.draining, Release: "v1",
-		ColdFor: max(0, t.coldUntil-t.world.now),
+		WarmupLeft: max(0, t.coldUntil-t.world.now),
 	}
 }
 
--- a/emulator/vm.go
+++ b/emulator/vm.go
@@ -157,7 +157,7 @@
 
 func (v *vm) tickNow() {
 	now := v.world.time()
-	var ended []baobabstep.Forward
+	var ended []baobabstep.OutgoingDatagram
 	v.router.Tick(now, &ended)
 	for i := range ended {
 		if f := v.world.openFlow(ended[i].Flow); f != nil {
@@ -217,7 +217,7 @@
 }
 
 // forward sends a segment on, or a reset back.
-func (v *vm) forward(p *packet, f *baobabstep.Forward) {
+func (v *vm) forward(p *packet, f *baobabstep.OutgoingDatagram) {
 	w := v.world
 	if f.Target == 0 {
 		v.reset(p.flow)
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -66,7 +66,7 @@
 	// evacuated are the data centres that get no new flow, and since when.
 	evacuated map[int]time.Duration
 	result    *Result
-	out       []baobabstep.Forward
+	out       []baobabstep.OutgoingDatagram
 	// luck draws what depends on decisions; what callers draw has streams of
 	// its own.
 	luck *rand.Rand
@@ -260,7 +260,7 @@
 	for i := range w.deployment.Classes {
 		c := &w.deployment.Classes[i]
 		t.Rules = append(t.Rules, baobabstep.Rule{
-			Name: c.Name, Address: w.addresses[c], Repeatable: c.Idempotent, Aim: c.AimMS.D(), Priority: c.Priority, Shares: []baobabstep.Share{{Service: c.Service, Weight: 1}},
+			Name: c.Name, Address: w.addresses[c], Repeatable: c.Idempotent, LatencyObjective: c.AimMS.D(), Priority: c.Priority, Shares: []baobabstep.Share{{Service: c.Service, Weight: 1}},
 		})
 	}
 	for _, s := range w.deployment.Services {
--- a/entry/belief.go
+++ b/entry/belief.go
@@ -305,9 +305,9 @@
 	for _, id := range slices.Sorted(maps.Keys(latest)) {
 		old, exists := sc.targets.Get(id)
 		switch c := latest[id]; {
-		case c.Gone && exists:
+		case c.Removed && exists:
 			d.Removed = append(d.Removed, id)
-		case !c.Gone && (!exists || old != c.Registration):
+		case !c.Removed && (!exists || old != c.Registration):
 			d.Put = append(d.Put, c.Registration)
 		}
 	}
--- a/entry/failing_target_test.go
+++ b/entry/failing_target_test.go
@@ -22,8 +22,8 @@
 // second one of failingTarget 160.
 func sendRequests(n *Node, from time.Time, seconds int) (now time.Time) {
 	const perSecond, callers = 100, 40
-	var out []baobabstep.Forward
-	send := func(at time.Time, s baobabstep.Segment) baobabstep.Forward {
+	var out []baobabstep.OutgoingDatagram
+	send := func(at time.Time, s baobabstep.Segment) baobabstep.OutgoingDatagram {
 		out = out[:0]
 		n.router.Handle(at, &s, &out)
 		return out[0]
@@ -42,7 +42,7 @@
 		later.Kind, later.Seq, later.Acked, later.Size = baobabstep.KindClose, 211, 500+size, 0
 		send(now.Add(6*time.Millisecond), later)
 		if i%10 == 0 {
-			n.router.Tick(now.Add(7*time.Millisecond), new([]baobabstep.Forward))
+			n.router.Tick(now.Add(7*time.Millisecond), new([]baobabstep.OutgoingDatagram))
 		}
 	}
 	return now
--- a/entry/heartbeat_bench_test.go
+++ b/entry/heartbeat_bench_test.go
@@ -101,7 +101,7 @@
 
 // openFlows sends the VM a second of traffic, so that it has loads to announce.
 func openFlows(n *Node, now time.Time) {
-	var out []baobabstep.Forward
+	var out []baobabstep.OutgoingDatagram
 	for i := range flowsPerSecond {
 		out = out[:0]
 		caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(i >> 8), byte(i)}), uint16(now.Unix())+1024)
@@ -144,7 +144,7 @@
 	for i, r := range list {
 		loads[i] = baobabstep.TargetLoad{Target: r.ID, Requests: 20 * rng.Float64()}
 		if i%targetsPerOutlier == 0 {
-			loads[i].Answers, loads[i].Failed, loads[i].Took, loads[i].Callers = 6, 3, 60*time.Millisecond, 0b10011
+			loads[i].Answers, loads[i].Failed, loads[i].MeanDuration, loads[i].Callers = 6, 3, 60*time.Millisecond, 0b10011
 		}
 	}
 	return loads
--- a/entry/logging_bench_test.go
+++ b/entry/logging_bench_test.go
@@ -101,7 +101,7 @@
 	node   *Node
 	conn   *packet.SegmentConn
 	client *net.UDPConn
-	out    []baobabstep.Forward
+	out    []baobabstep.OutgoingDatagram
 	batch  []baobabstep.Segment
 }
 
@@ -149,7 +149,7 @@
 		token = f.out[0].Token
 	}
 	if n%100 == 0 {
-		f.node.router.Tick(now, new([]baobabstep.Forward))
+		f.node.router.Tick(now, new([]baobabstep.OutgoingDatagram))
 	}
 	return took
 }
--- a/entry/logging_test.go
+++ b/entry/logging_test.go
@@ -19,14 +19,14 @@
 	lines := memory.New()
 	n := newTestNode(new(countingMessages), &log.Logger{Handler: lines, Level: log.InfoLevel}, keepAllLines{})
 	p := baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: baobabstep.FlowKey{Caller: benchService, Service: benchService}}
-	n.router.Handle(benchEpoch, &p, new([]baobabstep.Forward))
+	n.router.Handle(benchEpoch, &p, new([]baobabstep.OutgoingDatagram))
 	qt.Assert(t, lines.Entries, qt.HasLen, 1)
 	qt.Check(t, lines.Entries[0].Message, qt.Equals, "segment_unready")
 	_, has := lines.Entries[0].Fields["routes_age_ms"]
 	qt.Check(t, has, qt.IsFalse)
 
 	n.cache.confirmByPeer(benchEpoch, heartbeat.Routes, baobabstep.Revision{}, benchEpoch.Add(-250*time.Millisecond))
-	n.router.Handle(benchEpoch, &p, new([]baobabstep.Forward))
+	n.router.Handle(benchEpoch, &p, new([]baobabstep.OutgoingDatagram))
 	encoded, err := json.Marshal(lines.Entries[1].Fields)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, string(encoded), qt.Contains, `"routes_age_ms":250`)
--- a/entry/node.go
+++ b/entry/node.go
@@ -218,7 +218,7 @@
 func (n *Node) forwardSegments(ctx context.Context, segments baobabstep.Segments) error {
 	n.waitForRoutes(ctx)
 	batch := make([]baobabstep.Segment, batchSize)
-	out := make([]baobabstep.Forward, 0, batchSize)
+	out := make([]baobabstep.OutgoingDatagram, 0, batchSize)
 	for {
 		count, err := segments.Receive(ctx, batch)
 		if err != nil {
@@ -277,7 +277,7 @@
 
 // tickRouter runs the router's timers and sends the resets that they produce.
 func (n *Node) tickRouter(now time.Time) error {
-	var ended []baobabstep.Forward
+	var ended []baobabstep.OutgoingDatagram
 	n.router.Tick(now, &ended)
 	if len(ended) == 0 {
 		return nil
--- a/entry/restore_model_test.go
+++ b/entry/restore_model_test.go
@@ -100,7 +100,7 @@
 	qt.Assert(t, n.updateTargets(benchRegistrations(1), before, from), qt.IsNil)
 	qt.Assert(t, n.updateEvacuations(nil, before, from), qt.IsNil)
 	take(n, next)
-	var out []baobabstep.Forward
+	var out []baobabstep.OutgoingDatagram
 	p := baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: baobabstep.FlowKey{Caller: benchService, Service: benchService}}
 	n.router.Handle(benchEpoch, &p, &out)
 	return len(out) == 1 && out[0].Target != 0
--- a/entry/section_test.go
+++ b/entry/section_test.go
@@ -130,7 +130,7 @@
 			if change == "read" {
 				_, _, err = n.cache.updateTargets(benchEpoch, all[:90], newer, origin{source: sourceStore})
 			} else {
-				_, _, err = n.cache.applyTargetChanges(benchEpoch, []baobabstep.RegistrationChange{{Registration: all[95], Gone: true, Revision: newer}}, newer)
+				_, _, err = n.cache.applyTargetChanges(benchEpoch, []baobabstep.RegistrationChange{{Registration: all[95], Removed: true, Revision: newer}}, newer)
 			}
 			qt.Assert(t, err, qt.IsNil)
 			n.cache.flushSections(benchEpoch)
--- a/entry/startup_wait_test.go
+++ b/entry/startup_wait_test.go
@@ -14,7 +14,7 @@
 // waitingSegments has one first segment in its socket, and records what is sent.
 type waitingSegments struct {
 	readAt time.Time
-	sent   []baobabstep.Forward
+	sent   []baobabstep.OutgoingDatagram
 }
 
 func (s *waitingSegments) Receive(ctx context.Context, batch []baobabstep.Segment) (int, error) {
@@ -27,7 +27,7 @@
 	return 1, nil
 }
 
-func (s *waitingSegments) Send(batch []baobabstep.Forward) error {
+func (s *waitingSegments) Send(batch []baobabstep.OutgoingDatagram) error {
 	s.sent = append(s.sent, batch...)
 	return nil
 }
--- a/entry/store_read_test.go
+++ b/entry/store_read_test.go
@@ -24,7 +24,7 @@
 	draining.Draining = true
 	changes := []baobabstep.RegistrationChange{
 		{Registration: draining, Revision: baobabstep.Revision{Number: 11}},
-		{Registration: list[2], Gone: true, Revision: baobabstep.Revision{Number: 12}},
+		{Registration: list[2], Removed: true, Revision: baobabstep.Revision{Number: 12}},
 		{Registration: list[95], Revision: baobabstep.Revision{Number: 13}},
 	}
 	_, _, err = n.cache.applyTargetChanges(benchEpoch, changes, baobabstep.Revision{Number: 13})
--- a/io/packet/bench_test.go
+++ b/io/packet/bench_test.go
@@ -90,7 +90,7 @@
 		}
 		out = out[:0]
 		for i := range n {
-			out.Target(&in[i])
+			out.ToTarget(&in[i])
 		}
 		if c.Send(out) != nil {
 			return
--- a/io/packet/contract_test.go
+++ b/io/packet/contract_test.go
@@ -88,17 +88,17 @@
 			unknown.Target = 8
 			for _, test := range []struct {
 				name string
-				send baobabstep.Send
+				send baobabstep.OutgoingPacket
 				want baobabstep.Purpose
 			}{
-				{"to the caller", baobabstep.Send{Dest: baobabstep.DestCaller, Packet: data}, baobabstep.PurposeNone},
-				{"to a target by name", baobabstep.Send{Dest: baobabstep.DestTarget, Packet: data}, baobabstep.PurposeNone},
-				{"to a target by address", baobabstep.Send{Dest: baobabstep.DestTarget, Address: to.address, Packet: unknown}, baobabstep.PurposeNone},
-				{"to a VM with its route", baobabstep.Send{Dest: baobabstep.DestVM, VM: 9, Packet: routed}, baobabstep.PurposeForward},
-				{"to a caller without the route", baobabstep.Send{Dest: baobabstep.DestCaller, Packet: routed}, baobabstep.PurposeNone},
+				{"to the caller", baobabstep.OutgoingPacket{Dest: baobabstep.DestCaller, Packet: data}, baobabstep.PurposeNone},
+				{"to a target by name", baobabstep.OutgoingPacket{Dest: baobabstep.DestTarget, Packet: data}, baobabstep.PurposeNone},
+				{"to a target by address", baobabstep.OutgoingPacket{Dest: baobabstep.DestTarget, Address: to.address, Packet: unknown}, baobabstep.PurposeNone},
+				{"to a VM with its route", baobabstep.OutgoingPacket{Dest: baobabstep.DestVM, VM: 9, Packet: routed}, baobabstep.PurposeForward},
+				{"to a caller without the route", baobabstep.OutgoingPacket{Dest: baobabstep.DestCaller, Packet: routed}, baobabstep.PurposeNone},
 			} {
 				t.Run(test.name, func(t *testing.T) {
-					qt.Assert(t, from.Send([]baobabstep.Send{test.send}), qt.IsNil)
+					qt.Assert(t, from.Send([]baobabstep.OutgoingPacket{test.send}), qt.IsNil)
 					got := receive(t, to)
 					qt.Assert(t, got.Route.Purpose, qt.Equals, test.want)
 					qt.Assert(t, got.Seq, qt.Equals, uint32(5))
@@ -115,16 +115,16 @@
 	for _, w := range wires {
 		t.Run(w.name, func(t *testing.T) {
 			from, to := w.open(t, &book{}), w.open(t, &book{})
-			good := func(seq uint32) baobabstep.Send {
+			good := func(seq uint32) baobabstep.OutgoingPacket {
 				p := baobabstep.Packet{Kind: baobabstep.KindData, Seq: seq}
 				p.Flow.Caller = to.address
-				return baobabstep.Send{Dest: baobabstep.DestCaller, Packet: p}
+				return baobabstep.OutgoingPacket{Dest: baobabstep.DestCaller, Packet: p}
 			}
 			large := good(1)
 			large.Packet.Payload = make([]byte, 1<<16)
 			port0 := good(1)
 			port0.Packet.Flow.Caller = netip.MustParseAddrPort("127.0.0.1:0")
-			batch := []baobabstep.Send{
+			batch := []baobabstep.OutgoingPacket{
 				good(1), {}, {Dest: baobabstep.DestTarget}, {Dest: baobabstep.DestVM}, {Dest: baobabstep.DestCaller}, large, port0, good(2),
 			}
 			qt.Assert(t, from.Send(batch), qt.IsNil)
@@ -160,7 +160,7 @@
 			// Another context can receive again.
 			p := baobabstep.Packet{Kind: baobabstep.KindData, Seq: 3}
 			p.Flow.Caller = e.address
-			qt.Assert(t, e.Send([]baobabstep.Send{{Dest: baobabstep.DestCaller, Packet: p}}), qt.IsNil)
+			qt.Assert(t, e.Send([]baobabstep.OutgoingPacket{{Dest: baobabstep.DestCaller, Packet: p}}), qt.IsNil)
 			qt.Assert(t, receive(t, e).Seq, qt.Equals, uint32(3))
 		})
 	}
--- a/io/packet/packet.go
+++ b/io/packet/packet.go
@@ -133,12 +133,12 @@
 
 // Send implements [baobabstep.Packets]. It returns net.ErrClosed after Close;
 // what cannot be sent for other reasons is counted in Stats.
-func (c *Conn) Send(batch []baobabstep.Send) error {
+func (c *Conn) Send(batch []baobabstep.OutgoingPacket) error {
 	return c.send(len(batch), func(i int, b []byte) ([]byte, netip.AddrPort, bool) { return c.encode(&batch[i], b) })
 }
 
 // encode appends the datagram of s to b, or counts why it cannot.
-func (c *Conn) encode(s *baobabstep.Send, b []byte) ([]byte, netip.AddrPort, bool) {
+func (c *Conn) encode(s *baobabstep.OutgoingPacket, b []byte) ([]byte, netip.AddrPort, bool) {
 	to, ok := c.resolve(s)
 	if !ok {
 		c.counts.unaddressed.Add(1)
@@ -161,7 +161,7 @@
 	return b, to, true
 }
 
-func (c *Conn) resolve(s *baobabstep.Send) (netip.AddrPort, bool) {
+func (c *Conn) resolve(s *baobabstep.OutgoingPacket) (netip.AddrPort, bool) {
 	switch s.Dest {
 	case baobabstep.DestCaller:
 		to := s.Packet.Flow.Caller
--- a/io/packet/segment.go
+++ b/io/packet/segment.go
@@ -16,7 +16,7 @@
 	// CodeMalformed, CodeTooLarge.
 	Decode(datagram []byte, s *baobabstep.Segment) error
 	// Append appends the datagram of f to b and returns where it goes.
-	Append(b []byte, f *baobabstep.Forward) ([]byte, netip.AddrPort)
+	Append(b []byte, f *baobabstep.OutgoingDatagram) ([]byte, netip.AddrPort)
 }
 
 // SegmentConn is one shard of the sockets that carry segments. Receive is for
@@ -62,7 +62,7 @@
 
 // Send implements [baobabstep.Segments]. It returns net.ErrClosed after Close;
 // what cannot be sent for other reasons is counted in Stats.
-func (c *SegmentConn) Send(batch []baobabstep.Forward) error {
+func (c *SegmentConn) Send(batch []baobabstep.OutgoingDatagram) error {
 	return c.send(len(batch), func(i int, b []byte) ([]byte, netip.AddrPort, bool) {
 		b, to := c.codec.Append(b, &batch[i])
 		return b, to, true
--- a/node/control.go
+++ b/node/control.go
@@ -96,7 +96,7 @@
 	}
 	n.askedAt = now
 	for _, to := range n.newsPartners(v) {
-		n.sendPeer(to, baobabstep.TopicTarget, n.targets.Ask())
+		n.sendPeer(to, baobabstep.TopicTarget, n.targets.EncodeQuery())
 	}
 }
 
@@ -161,7 +161,7 @@
 	if v == nil {
 		return
 	}
-	body := n.targets.News(now, newsBytes)
+	body := n.targets.EncodeGossip(now, newsBytes)
 	if len(body) == 0 {
 		return
 	}
@@ -238,7 +238,7 @@
 
 // learnTargets takes news of targets, and answers a VM that asks.
 func (n *Node) learnTargets(now time.Time, from baobabstep.VMID, body []byte) {
-	reply, err := n.targets.Learn(now, from, body)
+	reply, err := n.targets.HandleGossip(now, from, body)
 	if err != nil {
 		n.counts.malformed.Add(1)
 	}
--- a/node/data.go
+++ b/node/data.go
@@ -75,7 +75,7 @@
 	case baobabstep.KindRequest, baobabstep.KindAnswer, baobabstep.KindRefusal, baobabstep.KindCancel:
 		n.work.Handle(now, p, out)
 	case baobabstep.KindHealthReport:
-		n.targets.Report(now, p.Target, p.Report)
+		n.targets.RecordReport(now, p.Target, p.Report)
 	default:
 		n.counts.unexpected.Add(1)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -215,7 +215,7 @@
 		return nil
 	case v.Unsure || now.Sub(n.sureSince()) < readySettle:
 		return baobabstep.Errorf(baobabstep.CodeIncomplete, "node.ready", "view of the fleet not settled yet")
-	case len(v.Members) > 0 && now.Sub(n.targets.AnsweredAt()) > answerAge:
+	case len(v.Members) > 0 && now.Sub(n.targets.QueryAnsweredAt()) > answerAge:
 		return baobabstep.Errorf(baobabstep.CodeIncomplete, "node.ready", "no member has said lately which targets are leaving")
 	}
 	return nil
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -66,7 +66,7 @@
 	return 0, ctx.Err()
 }
 
-func (h *heldPackets) Send(batch []baobabstep.Send) error {
+func (h *heldPackets) Send(batch []baobabstep.OutgoingPacket) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sent = append(h.sent, batch...)
--- a/node/operator.go
+++ b/node/operator.go
@@ -92,7 +92,7 @@
 		centre(vm.DataCentre).VMs[stateName(vm)]++
 	}
 	services := map[baobabstep.ServiceID]*serviceLoad{}
-	for _, t := range n.targets.Table(now) {
+	for _, t := range n.targets.States(now) {
 		c := centre(t.DataCentre)
 		c.Targets[usability(&t)]++
 		c.Flows += t.Load
--- a/node/probe.go
+++ b/node/probe.go
@@ -28,7 +28,7 @@
 			go n.probeConnect(ctx, id, t.Address)
 			continue
 		}
-		out.Target(&baobabstep.Packet{
+		out.ToTarget(&baobabstep.Packet{
 			Kind: baobabstep.KindHealth, Service: t.Service, Target: id, Version: c.Version,
 		})
 	}
@@ -43,7 +43,7 @@
 		return // No report: the registry counts the probe as unanswered.
 	}
 	c.Close()
-	n.targets.Report(n.clock.Now(), id, baobabstep.TargetReport{Healthy: true})
+	n.targets.RecordReport(n.clock.Now(), id, baobabstep.TargetReport{Healthy: true})
 }
 
 func (n *Node) newStreams(host netip.Addr) *stream.Proxy {
--- a/node/record_bench_test.go
+++ b/node/record_bench_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func (f *recordFleet) deliver(s *baobabstep.Send) {
+func (f *recordFleet) deliver(s *baobabstep.OutgoingPacket) {
 	switch s.Dest {
 	case baobabstep.DestVM:
 		f.count(&s.Packet)
--- a/packet.go
+++ b/packet.go
@@ -177,8 +177,8 @@
 	DestVM
 )
 
-// Send is one packet to send and its destination.
-type Send struct {
+// OutgoingPacket is one packet to send and its destination.
+type OutgoingPacket struct {
 	Dest Dest
 	VM   VMID
 	// Address is the target's address if Dest is DestTarget and the address is
@@ -189,15 +189,15 @@
 
 // Outbox collects packets to send. Handlers append to it, and its owner reuses
 // it, so that the data path does not allocate.
-type Outbox []Send
+type Outbox []OutgoingPacket
 
-// Caller appends a packet for the caller of its flow.
-func (o *Outbox) Caller(p *Packet) { *o = append(*o, Send{Dest: DestCaller, Packet: *p}) }
+// ToCaller appends a packet for the caller of its flow.
+func (o *Outbox) ToCaller(p *Packet) { *o = append(*o, OutgoingPacket{Dest: DestCaller, Packet: *p}) }
 
-// Target appends a packet for its target.
-func (o *Outbox) Target(p *Packet) { *o = append(*o, Send{Dest: DestTarget, Packet: *p}) }
+// ToTarget appends a packet for its target.
+func (o *Outbox) ToTarget(p *Packet) { *o = append(*o, OutgoingPacket{Dest: DestTarget, Packet: *p}) }
 
-// VM appends a packet for another member of the fleet.
-func (o *Outbox) VM(to VMID, p *Packet) {
-	*o = append(*o, Send{Dest: DestVM, VM: to, Packet: *p})
+// ToVM appends a packet for another member of the fleet.
+func (o *Outbox) ToVM(to VMID, p *Packet) {
+	*o = append(*o, OutgoingPacket{Dest: DestVM, VM: to, Packet: *p})
 }
--- a/port.go
+++ b/port.go
@@ -14,7 +14,7 @@
 	// datagrams are counted and skipped.
 	Receive(ctx context.Context, batch []Packet) (int, error)
 	// Send sends what it can. Packets without a known address are counted.
-	Send(batch []Send) error
+	Send(batch []OutgoingPacket) error
 	Close() error
 }
 
--- a/segment.go
+++ b/segment.go
@@ -31,9 +31,9 @@
 	Raw []byte
 }
 
-// Forward is one datagram to send: a segment to a target,
+// OutgoingDatagram is one datagram to send: a segment to a target,
 // or a reset to a caller.
-type Forward struct {
+type OutgoingDatagram struct {
 	// Target is 0 for a reset.
 	Target  TargetID
 	Address netip.AddrPort
@@ -50,6 +50,6 @@
 	// count. Malformed datagrams are counted and skipped.
 	Receive(ctx context.Context, batch []Segment) (int, error)
 	// Send sends what it can and counts what it cannot.
-	Send(batch []Forward) error
+	Send(batch []OutgoingDatagram) error
 	Close() error
 }
