--- a/core/config/accept.go
+++ b/core/config/accept.go
@@ -6,12 +6,12 @@
 	"baobabstep"
 )
 
-// StepKind tells what an [Accept] wants done.
+// StepKind is the kind of platform call that an [Accept] requests.
 type StepKind uint8
 
 // Kinds of steps.
 const (
-	// StepDone: the accept has ended; see [Accept.Result].
+	// StepDone ends the accept; see [Accept.Result].
 	StepDone StepKind = iota
 	// StepGet reads Key.
 	StepGet
@@ -19,7 +19,7 @@
 	StepPut
 )
 
-// Step is one platform call. The adapter makes it after Wait and gives the
+// Step is one platform call. The adapter makes it after Wait and passes the
 // answer to [Accept.Next].
 type Step struct {
 	Kind     StepKind
@@ -29,66 +29,67 @@
 	Wait     time.Duration
 }
 
-// Answer is what became of a step. Err's code decides what comes next.
+// Answer is the outcome of a step. The code of Err selects the next step.
 type Answer struct {
 	KeyValue baobabstep.KeyValue
 	Revision uint64
 	Err      error
 }
 
-// Result is what became of a change.
+// Result is the outcome of a change.
 type Result struct {
 	ChangeID string `json:"change_id"`
-	// Version is the version that the change became.
+	// Version is the version that the change created.
 	Version     uint64 `json:"version"`
 	BaseVersion uint64 `json:"base_version"`
-	// Repeated is set if the change had been accepted before this attempt,
-	// whose predecessor's answer was lost.
+	// Repeated is set if an earlier attempt, whose answer was lost, had
+	// already been accepted.
 	Repeated   bool        `json:"repeated"`
 	Difference []string    `json:"difference"`
 	Dangers    []Danger    `json:"dangers"`
 	Collisions []Collision `json:"collisions"`
-	// Theirs lists what others changed since the base, on a conflict.
+	// Theirs lists, on a conflict, what other operators changed since the base.
 	Theirs []FieldChange         `json:"theirs"`
 	Entry  baobabstep.AuditEntry `json:"entry"`
 	Err    error                 `json:"-"`
 }
 
-// AcceptOptions are what an accept starts from.
+// AcceptOptions configure an accept.
 type AcceptOptions struct {
-	// Objects finds objects that are known already, so that they need not
-	// be read; Current is the version in force here, or nil.
+	// Objects looks up local objects, which are not read from the platform;
+	// Current is the version in force on this VM, or nil.
 	Objects Objects
 	Current *Set
-	// Builder, if set, is used up by the accept. One that knows the current
-	// version saves decoding and rendering it.
+	// Builder, if set, must not be used by the caller afterwards. One that
+	// built the current version saves decoding and rendering it.
 	Builder *Builder
-	// FlowSecret is used for the first version of all.
+	// FlowSecret is used if no version exists yet.
 	FlowSecret [16]byte
 }
 
-// Accept carries one change through the platform. Every write's answer may be
-// lost: an object is written again, which changes nothing; the head is read
-// back and searched for the change's identifier. Nothing is visible before the
-// head is written, and everything is once it was.
+// Accept commits one change to the platform. After a lost answer, an object is
+// written again, which has no further effect; the head is read back and searched
+// for the change's identifier. The write of the head makes the change visible.
 type Accept struct {
 	o       AcceptOptions
 	change  Change
 	builder *Builder
 	state   acceptState
-	// attempts counts failures in a row of the same step.
+	// attempts counts consecutive failures of the current step.
 	attempts int
 	// restarts counts reads of the head.
 	restarts int
-	// restoreOnly is set if there is no change to make.
+	// restoreOnly is set for [NewRestore], which has no change.
 	restoreOnly bool
 
 	head     Head
 	revision uint64
-	// unsure is set once a write of the head may have taken effect.
-	unsure  bool
-	fetched map[Digest][]byte
-	before  *Set
+	// headWriteUnknown is set while an earlier write of the head may have taken
+	// effect.
+	headWriteUnknown bool
+	fetched          map[Digest][]byte
+	// baseSet is the version that head refers to, nil if there is none.
+	baseSet *Set
 	missing []Missing
 
 	newHead Head
@@ -113,11 +114,11 @@
 const (
 	maxAttempts = 5
 	maxRestarts = 16
-	// firstWait is the pause before the first repetition; it doubles.
-	firstWait = 50 * time.Millisecond
+	// initialBackoff is the wait before the first retry; it doubles with each.
+	initialBackoff = 50 * time.Millisecond
 )
 
-// NewAccept returns the machine for one change.
+// NewAccept returns the accept of one change.
 func NewAccept(c Change, o AcceptOptions) *Accept {
 	a := &Accept{o: o, change: c, builder: o.Builder, fetched: map[Digest][]byte{}}
 	if a.builder == nil {
@@ -127,8 +128,8 @@
 	return a
 }
 
-// NewRestore returns the machine that gives a store that was set back what is in
-// force here. It changes nothing if the store has that, or something newer.
+// NewRestore returns an accept that restores a rolled-back store to the version in
+// force on this VM. It writes nothing if the store's version is that or newer.
 func NewRestore(o AcceptOptions) *Accept {
 	a := NewAccept(Change{}, o)
 	a.restoreOnly = true
@@ -146,7 +147,7 @@
 	return a.readHead()
 }
 
-// Result returns what became of the change, once the step is StepDone.
+// Result returns the outcome of the change, once the step is StepDone.
 func (a *Accept) Result() Result { return a.result }
 
 func (a *Accept) fail(err error) Step {
@@ -155,7 +156,7 @@
 	return Step{}
 }
 
-func (a *Accept) next(state acceptState, s Step) Step {
+func (a *Accept) transition(state acceptState, s Step) Step {
 	a.state, a.step, a.attempts = state, s, 0
 	return s
 }
@@ -164,38 +165,38 @@
 func (a *Accept) Next(now time.Time, answer Answer) Step {
 	code := baobabstep.CodeOf(answer.Err)
 	if a.state == stateWriteHead {
-		return a.headWritten(answer, code)
+		return a.handleHeadWritten(answer, code)
 	}
 	switch code {
 	case baobabstep.CodePlatformUnavailable, baobabstep.CodePlatformUnknown, baobabstep.CodeBudgetSpent:
-		return a.again(answer.Err)
+		return a.retry(answer.Err)
 	}
 	switch a.state {
 	case stateReadHead:
-		return a.headRead(now, answer, code)
+		return a.handleHeadRead(now, answer, code)
 	case stateReadObject:
-		return a.objectRead(now, answer, code)
+		return a.handleObjectRead(now, answer, code)
 	case stateWriteObject:
-		return a.objectWritten(answer, code)
+		return a.handleObjectWritten(answer, code)
 	case stateReadExisting:
-		return a.existingRead(answer, code)
+		return a.handleExistingRead(answer, code)
 	}
 	return Step{}
 }
 
-// again repeats the last step after a pause. Only reads and repeatable writes
-// come here. Once the attempts are used up nothing was accepted, unless an
-// earlier write of the head is still in doubt.
-func (a *Accept) again(err error) Step {
+// retry repeats the current step, a read or an idempotent write, after a backoff.
+// After maxAttempts it fails: nothing was accepted, unless the outcome of an
+// earlier write of the head is unknown.
+func (a *Accept) retry(err error) Step {
 	a.attempts++
 	if a.attempts < maxAttempts {
 		s := a.step
-		s.Wait = firstWait << (a.attempts - 1)
+		s.Wait = initialBackoff << (a.attempts - 1)
 		return s
 	}
-	if a.unsure {
+	if a.headWriteUnknown {
 		return a.fail(baobabstep.Errorf(baobabstep.CodePlatformUnknown, "config.accept",
-			"the platform stopped answering while change %s was written; repeat the command with this change id to learn what became of it: %w", a.change.ID, err))
+			"the platform stopped answering while change %s was written; repeat the command with this change id to learn the outcome: %w", a.change.ID, err))
 	}
 	return a.fail(baobabstep.Errorf(baobabstep.CodePlatformUnavailable, "config.accept", "nothing was accepted: %w", err))
 }
@@ -203,12 +204,12 @@
 func (a *Accept) readHead() Step {
 	a.restarts++
 	if a.restarts > maxRestarts {
-		return a.fail(baobabstep.Errorf(baobabstep.CodeConflict, "config.accept", "got %d other changes while trying, want one quiet moment; nothing was accepted", a.restarts))
+		return a.fail(baobabstep.Errorf(baobabstep.CodeConflict, "config.accept", "gave up before attempt %d: other changes were accepted first; nothing was accepted", a.restarts))
 	}
-	return a.next(stateReadHead, Step{Kind: StepGet, Key: HeadKey})
+	return a.transition(stateReadHead, Step{Kind: StepGet, Key: HeadKey})
 }
 
-func (a *Accept) headRead(now time.Time, answer Answer, code baobabstep.Code) Step {
+func (a *Accept) handleHeadRead(now time.Time, answer Answer, code baobabstep.Code) Step {
 	switch code {
 	case baobabstep.CodeOK:
 		h, err := DecodeHead(answer.KeyValue.Value)
@@ -216,9 +217,9 @@
 			return a.fail(err)
 		}
 		if answer.KeyValue.Revision != a.revision {
-			// A write that expected the former revision cannot take effect
-			// any more; whether it did is in the list of changes.
-			a.unsure = false
+			// A write that expected the former revision can no longer take
+			// effect; the list of changes shows whether it did.
+			a.headWriteUnknown = false
 		}
 		a.head, a.revision = *h, answer.KeyValue.Revision
 	case baobabstep.CodeNotFound:
@@ -226,8 +227,8 @@
 	default:
 		return a.fail(answer.Err)
 	}
-	if a.isSetBack() {
-		return a.build(now)
+	if a.storeRolledBack() {
+		return a.loadBaseSet(now)
 	}
 	if a.restoreOnly {
 		a.state = stateDone
@@ -239,7 +240,7 @@
 		a.state = stateDone
 		return Step{}
 	}
-	return a.build(now)
+	return a.loadBaseSet(now)
 }
 
 func (a *Accept) lookup(d Digest) ([]byte, bool) {
@@ -255,12 +256,12 @@
 	return a.o.Objects(d)
 }
 
-// build loads the version that the head names, reading what is not here, and
-// then makes the next one.
-func (a *Accept) build(now time.Time) Step {
+// loadBaseSet builds the version that the head refers to, reading missing objects
+// from the platform, and then prepares the writes.
+func (a *Accept) loadBaseSet(now time.Time) Step {
 	if a.head.Version == 0 {
-		a.before = nil
-		return a.built(now)
+		a.baseSet = nil
+		return a.prepareWrites(now)
 	}
 	s, missing, err := a.builder.Build(a.head.Manifest, a.lookup, a.o.Current)
 	if err != nil {
@@ -268,27 +269,27 @@
 	}
 	if len(missing) > 0 {
 		a.missing = missing
-		return a.readNext()
+		return a.readNextObject()
 	}
-	a.before = s
-	return a.built(now)
+	a.baseSet = s
+	return a.prepareWrites(now)
 }
 
-// built goes on once the version that the head names is at hand.
-func (a *Accept) built(now time.Time) Step {
-	if a.isSetBack() {
+// prepareWrites makes the writes of the restore or the change, given baseSet.
+func (a *Accept) prepareWrites(now time.Time) Step {
+	if a.storeRolledBack() {
 		return a.prepareRestore()
 	}
 	return a.prepare(now)
 }
 
-func (a *Accept) readNext() Step {
-	return a.next(stateReadObject, Step{Kind: StepGet, Key: ObjectKey(a.missing[0].Digest)})
+func (a *Accept) readNextObject() Step {
+	return a.transition(stateReadObject, Step{Kind: StepGet, Key: ObjectKey(a.missing[0].Digest)})
 }
 
-func (a *Accept) objectRead(now time.Time, answer Answer, code baobabstep.Code) Step {
+func (a *Accept) handleObjectRead(now time.Time, answer Answer, code baobabstep.Code) Step {
 	if code == baobabstep.CodeNotFound {
-		// Another change came first and this object was collected since.
+		// Another change was accepted and the object was garbage-collected.
 		return a.readHead()
 	}
 	if code != baobabstep.CodeOK {
@@ -296,68 +297,68 @@
 	}
 	d := a.missing[0].Digest
 	if MakeDigest(answer.KeyValue.Value) != d {
-		return a.fail(baobabstep.Errorf(baobabstep.CodeInvalid, "config.accept", "got other bytes than object %v is named for; nothing was accepted", d))
+		return a.fail(baobabstep.Errorf(baobabstep.CodeInvalid, "config.accept", "object %v does not match its digest; nothing was accepted", d))
 	}
 	a.fetched[d] = answer.KeyValue.Value
 	a.missing = a.missing[1:]
 	if len(a.missing) > 0 {
-		return a.readNext()
+		return a.readNextObject()
 	}
-	return a.build(now)
+	return a.loadBaseSet(now)
 }
 
 func (a *Accept) writeNext() Step {
 	if len(a.writes) == 0 {
-		return a.next(stateWriteHead, Step{Kind: StepPut, Key: HeadKey, Value: Encode(a.newHead), Expected: a.revision})
+		return a.transition(stateWriteHead, Step{Kind: StepPut, Key: HeadKey, Value: Encode(a.newHead), Expected: a.revision})
 	}
 	d := a.writes[0]
-	return a.next(stateWriteObject, Step{Kind: StepPut, Key: ObjectKey(d), Value: a.objects[d]})
+	return a.transition(stateWriteObject, Step{Kind: StepPut, Key: ObjectKey(d), Value: a.objects[d]})
 }
 
-// objectWritten serves the first write of an object and the one that renews its
-// revision.
-func (a *Accept) objectWritten(answer Answer, code baobabstep.Code) Step {
+// handleObjectWritten handles the first write of an object and the rewrite that
+// changes its revision.
+func (a *Accept) handleObjectWritten(answer Answer, code baobabstep.Code) Step {
 	switch code {
 	case baobabstep.CodeOK:
 		a.writes = a.writes[1:]
 		return a.writeNext()
 	case baobabstep.CodeConflict:
-		// It exists: from a write whose answer was lost, or as garbage that
-		// is about to be collected. Writing it once more changes its
-		// revision, and the collector removes only the revision it saw.
-		return a.next(stateReadExisting, Step{Kind: StepGet, Key: a.step.Key})
+		// The object exists, from a write whose answer was lost or as garbage
+		// that may be collected at any time. Rewriting it changes its
+		// revision, and the collector only removes the revision that it listed.
+		return a.transition(stateReadExisting, Step{Kind: StepGet, Key: a.step.Key})
 	}
 	return a.fail(answer.Err)
 }
 
-func (a *Accept) existingRead(answer Answer, code baobabstep.Code) Step {
+func (a *Accept) handleExistingRead(answer Answer, code baobabstep.Code) Step {
 	d := a.writes[0]
 	switch code {
 	case baobabstep.CodeNotFound:
 		return a.writeNext()
 	case baobabstep.CodeOK:
-		return a.next(stateWriteObject, Step{Kind: StepPut, Key: ObjectKey(d), Value: a.objects[d], Expected: answer.KeyValue.Revision})
+		return a.transition(stateWriteObject, Step{Kind: StepPut, Key: ObjectKey(d), Value: a.objects[d], Expected: answer.KeyValue.Revision})
 	}
 	return a.fail(answer.Err)
 }
 
-// headWritten decides after the one write that matters. On any doubt the head
-// is read: it tells whether this change, or another, came first.
-func (a *Accept) headWritten(answer Answer, code baobabstep.Code) Step {
+// handleHeadWritten handles the answer to the commit. On a conflict or an unknown
+// outcome it reads the head to find whether the change took effect.
+func (a *Accept) handleHeadWritten(answer Answer, code baobabstep.Code) Step {
 	switch code {
 	case baobabstep.CodeOK:
-		if a.isSetBack() {
-			return a.readHead() // it has been restored; now for the change
+		if a.storeRolledBack() {
+			return a.readHead() // the store is restored; the change follows
 		}
 		a.state = stateDone
 		return Step{}
 	case baobabstep.CodeConflict:
 		return a.readHead()
 	case baobabstep.CodePlatformUnknown:
-		a.unsure = true
+		a.headWriteUnknown = true
 		return a.readHead()
 	case baobabstep.CodePlatformUnavailable, baobabstep.CodeBudgetSpent:
-		return a.again(answer.Err)
+		return a.retry(answer.Err)
 	}
 	return a.fail(answer.Err)
 }
--- a/core/config/accept_test.go
+++ b/core/config/accept_test.go
@@ -13,7 +13,7 @@
 	"baobabstep/core/config"
 )
 
-// read builds the version that the store has.
+// read builds the version in the store.
 func (s *store) read(c *qt.C) *config.Set {
 	c.Helper()
 	head, err := config.DecodeHead(s.keys[config.HeadKey].Value)
@@ -36,10 +36,9 @@
 	return -1
 }
 
-// TestLostAnswers: each write of an accept in turn takes effect without its
-// answer reaching the operator's VM, or does not take effect at all, or finds
-// the platform down. The operator sees success once, and one version more; or a
-// refusal, and no version more. Every write is repeatable or is read back.
+// TestLostAnswers guards against a change that is lost or applied twice: each
+// write of an accept in turn takes effect without being answered, has no effect,
+// or finds the platform down. The accept must succeed and create one version.
 func TestLostAnswers(t *testing.T) {
 	writes := 0
 	s := newStore()
@@ -79,10 +78,10 @@
 	}
 }
 
-// TestPlatformStopsDuringAccept: the platform goes down for good at each write
-// in turn. The operator is told that nothing was accepted, or, if the head may
-// have been written, that the outcome is unknown; repeating the command with the
-// same change identifier later tells the truth and changes nothing twice.
+// TestPlatformStopsDuringAccept guards against a wrong outcome reported to the
+// operator when the platform goes down at each write in turn. The accept reports
+// that nothing was accepted or, if the head may have been written, that the outcome
+// is unknown. Repeating it with the same identifier creates one version.
 func TestPlatformStopsDuringAccept(t *testing.T) {
 	for at := 1; at <= 4; at++ {
 		for _, takes := range []bool{false, true} {
@@ -121,9 +120,9 @@
 	}
 }
 
-// TestTwoOperators: Ana and Rui edit the same account from the same version,
-// and Ana's edit is accepted first. Rui must be told what she changed instead
-// of overwriting it; with merge, edits of other fields are combined.
+// TestTwoOperators guards against lost updates: two operators edit the same account
+// from the same version. The second edit must conflict and list the first one's
+// changes; with Merge, edits of different fields are combined.
 func TestTwoOperators(t *testing.T) {
 	timeoutOf := func(a *config.Account, d string) []byte {
 		a.Services[0].Values["max_timeout"] = json.RawMessage(`"` + d + `"`)
@@ -161,9 +160,9 @@
 	}
 }
 
-// TestHeadRace: another change is accepted between this one's read of the head
-// and its write. Both are of different accounts, so both must be in force, and
-// the second has to be built on the first.
+// TestHeadRace guards against lost updates when another change, of another account,
+// is accepted between the read and the write of the head. Both must be in force,
+// and the second must be based on the first.
 func TestHeadRace(t *testing.T) {
 	c := qt.New(t)
 	s := newStore()
@@ -185,7 +184,7 @@
 	c.Assert(set.Manifest.Entry.PreviousHash, qt.Equals, previous.Entry.Hash)
 }
 
-func edited(kind config.ObjectKind, name string, base, document any) config.Change {
+func editChange(kind config.ObjectKind, name string, base, document any) config.Change {
 	e := config.Edit{Kind: kind, Name: name}
 	if base != nil {
 		e.Base = config.Encode(base)
@@ -202,12 +201,12 @@
 		return a
 	}
 	account := func(f func(*config.Account) *config.Account) config.Change {
-		return edited(config.ObjectAccount, accountName(1), testAccount(1, 3), f(testAccount(1, 3)))
+		return editChange(config.ObjectAccount, accountName(1), testAccount(1, 3), f(testAccount(1, 3)))
 	}
 	template := func(f func(*config.Template)) config.Change {
 		t := testTemplate()
 		f(t)
-		return edited(config.ObjectTemplate, "plain", testTemplate(), t)
+		return editChange(config.ObjectTemplate, "plain", testTemplate(), t)
 	}
 	for _, one := range []struct {
 		name   string
@@ -237,9 +236,9 @@
 			return values(a, "targets", strings.ReplaceAll(string(a.Services[0].Values["targets"]), `"data_centre"`, `"drained":true,"data_centre"`))
 		}), baobabstep.CodeDangerous, "from 6000 to 0"},
 		{"service moved", account(func(a *config.Account) *config.Account { return values(a, "address", `"127.50.99.0:7000"`) }), baobabstep.CodeDangerous, "no longer at"},
-		{"account removed", edited(config.ObjectAccount, accountName(1), testAccount(1, 3), nil), baobabstep.CodeDangerous, "removed"},
-		{"nothing changed", edited(config.ObjectAccount, accountName(1), testAccount(1, 3), testAccount(1, 3)), baobabstep.CodeInvalid, "changes nothing"},
-		{"template removed in use", edited(config.ObjectTemplate, "plain", testTemplate(), nil), baobabstep.CodeInvalid, "the name of a template"},
+		{"account removed", editChange(config.ObjectAccount, accountName(1), testAccount(1, 3), nil), baobabstep.CodeDangerous, "removed"},
+		{"nothing changed", editChange(config.ObjectAccount, accountName(1), testAccount(1, 3), testAccount(1, 3)), baobabstep.CodeInvalid, "changes nothing"},
+		{"template removed in use", editChange(config.ObjectTemplate, "plain", testTemplate(), nil), baobabstep.CodeInvalid, "the name of a template"},
 		{"parameter removed in use", template(func(t *config.Template) {
 			t.SchemaVersion = 2
 			t.Parameters = slices.Delete(t.Parameters, 1, 2)
@@ -277,14 +276,14 @@
 	}
 }
 
-// TestQuarantine: a target's address leaves one service and later belongs to
-// another. A VM with the old version still sends the old service's packets
-// there, so the address is listed until the version that took it away.
+// TestQuarantine guards against packets of one service that reach a target of
+// another: a VM with the old version still sends them to an address that was
+// removed from the service, so the new version must quarantine the address.
 func TestQuarantine(t *testing.T) {
 	c := qt.New(t)
 	s := newStore()
 	mustAccept(c, s, firstChange(3, 4))
-	mustAccept(c, s, edited(config.ObjectAccount, accountName(1), testAccount(1, 4), testAccount(1, 3)))
+	mustAccept(c, s, editChange(config.ObjectAccount, accountName(1), testAccount(1, 4), testAccount(1, 3)))
 	set := s.read(c)
 	c.Assert(set.Config.Quarantine, qt.HasLen, 1)
 	q := set.Config.Quarantine[0]
--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -11,8 +11,8 @@
 	"baobabstep/core/config"
 )
 
-// targetsOf gives accounts 4 or 5 targets, 4.2 in the mean, so that 6,200 have
-// 26,040.
+// targetsOf returns the number of targets of an account: 4 or 5, 4.2 in the mean,
+// so that 6,200 accounts have 26,040.
 func targetsOf(number int) int {
 	if number%5 == 0 {
 		return 5
@@ -28,8 +28,8 @@
 	return c
 }
 
-// sizes are the numbers of accounts, up to the target of 6,200 addresses.
-var sizes = []int{100, 400, 1600, 6200}
+// accountCounts are the benchmarked numbers of accounts, up to the required 6,200.
+var accountCounts = []int{100, 400, 1600, 6200}
 
 func bigStore(b *testing.B, accounts int) *store {
 	b.Helper()
@@ -38,9 +38,9 @@
 	return s
 }
 
-// BenchmarkFirst: a VM that knows nothing loads and renders a whole version.
+// BenchmarkFirst loads and renders a whole version with empty caches.
 func BenchmarkFirst(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range accountCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := bigStore(b, n)
 			c := qt.New(b)
@@ -58,10 +58,10 @@
 	}
 }
 
-// BenchmarkChange: a VM with the version before applies one that changes one
-// account, out of objects that are at hand.
+// BenchmarkChange builds a version in which one account changed, from local objects
+// and with the previous version cached.
 func BenchmarkChange(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range accountCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := bigStore(b, n)
 			builder := config.NewBuilder()
@@ -91,10 +91,10 @@
 	return head.Manifest
 }
 
-// BenchmarkAccept: the whole of an accept of one account, on a VM that has the
-// version in force.
+// BenchmarkAccept accepts a change of one account on a VM that has the version in
+// force.
 func BenchmarkAccept(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range accountCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := bigStore(b, n)
 			objects := func(d config.Digest) ([]byte, bool) { kv, ok := s.keys[config.ObjectKey(d)]; return kv.Value, ok }
@@ -119,8 +119,8 @@
 	}
 }
 
-// BenchmarkSpreadFleet: one change spreads over fleets of growing size; the
-// fleet's clock is virtual, the bytes are those of the encoded messages.
+// BenchmarkSpreadFleet distributes one change over fleets of several sizes. The
+// clock is virtual, the bytes are those of the encoded messages.
 func BenchmarkSpreadFleet(b *testing.B) {
 	for _, size := range []struct{ centres, per int }{{3, 3}, {6, 12}, {14, 41}, {14, 164}} {
 		b.Run(fmt.Sprint(size.centres*size.per), func(b *testing.B) {
@@ -129,7 +129,7 @@
 			mustAccept(c, s, firstChange(20, 4))
 			f := newFleet(size.centres, size.per, s)
 			assertInForce(c, f, 10*time.Second, 1)
-			f.wait(5 * time.Second)
+			f.advance(5 * time.Second)
 			var worst time.Duration
 			i := 0
 			bytes, messages := f.total(), f.messages
@@ -138,7 +138,7 @@
 				mustAccept(c, s, queueChange(fmt.Sprint(i), 3, 4, i-1, i))
 				took := assertInForce(c, f, 10*time.Second, uint64(2+i))
 				worst = max(worst, took)
-				f.wait(8*time.Second - took)
+				f.advance(8*time.Second - took)
 				i++
 			}
 			seconds := f.now.Sub(start).Seconds()
@@ -158,28 +158,28 @@
 	return n
 }
 
-// BenchmarkSpreadSize: one change of one account spreads over nine VMs while
-// the configuration grows; then one VM is replaced and gets all from its peers.
+// BenchmarkSpreadSize distributes a change of one account over nine VMs at several
+// configuration sizes, and replaces one VM, which fetches everything from peers.
 func BenchmarkSpreadSize(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range accountCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := qt.New(b)
 			s := bigStore(b, n)
 			f := newFleet(3, 3, s)
 			assertInForce(c, f, time.Minute, 1)
-			// The first start of all has used up the budgets of the peers.
-			f.wait(2 * time.Minute)
+			// The initial distribution has spent the send budgets.
+			f.advance(2 * time.Minute)
 			runtime.GC()
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
 			s.down = true
-			f.wait(time.Second)
+			f.advance(time.Second)
 			before, start := f.total(), f.now
 			f.start(f.vms[0].ID)
 			took := assertInForce(c, f, 2*time.Minute, 1)
 			startBytes := f.total() - before
 			s.down = false
-			f.wait(2*time.Minute - f.now.Sub(start))
+			f.advance(2*time.Minute - f.now.Sub(start))
 			i := 0
 			bytes := 0
 			for b.Loop() {
@@ -187,7 +187,7 @@
 				before := f.total()
 				took := assertInForce(c, f, 10*time.Second, uint64(2+i))
 				bytes += f.total() - before
-				f.wait(8*time.Second - took)
+				f.advance(8*time.Second - took)
 				i++
 			}
 			b.ReportMetric(float64(m.HeapAlloc)/9, "heap-B/VM")
--- a/core/config/bucket.go
+++ b/core/config/bucket.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// bucket is a token bucket of bytes that may go below zero: a message is sent
-// whole while the bucket is above zero, and paid for afterwards.
-type bucket struct {
+// tokenBucket limits the bytes sent. Its level may become negative: a message is
+// sent whole while the level is positive, and deducted afterwards. Rates are in
+// bytes per second.
+type tokenBucket struct {
 	rate, burst, tokens float64
-	at                  time.Time
+	refilledAt          time.Time
 }
 
-func (b *bucket) ready(now time.Time) bool {
-	if d := now.Sub(b.at); d > 0 {
+// refill adds the tokens due and reports whether the level is positive.
+func (b *tokenBucket) refill(now time.Time) bool {
+	if d := now.Sub(b.refilledAt); d > 0 {
 		b.tokens = min(b.burst, b.tokens+d.Seconds()*b.rate)
-		b.at = now
+		b.refilledAt = now
 	}
 	return b.tokens > 0
 }
 
-func (b *bucket) spend(n int) { b.tokens -= float64(n) }
+func (b *tokenBucket) spend(n int) { b.tokens -= float64(n) }
--- a/core/config/builder.go
+++ b/core/config/builder.go
@@ -8,49 +8,48 @@
 	"baobabstep"
 )
 
-// Builder makes configurations of trees of objects. It keeps what it decoded
-// and rendered, so that a version that differs from the last one in a single
-// account costs little more than that account. It is not safe for concurrent
-// use.
+// Builder builds configurations from trees of objects. It caches decoded objects
+// and rendered accounts, so that a version with one changed account decodes and
+// renders little more than that account. It is not safe for concurrent use.
 type Builder struct {
-	objects   map[Digest]*decoded
+	objects   map[Digest]*decodedObject
 	rendered  map[renderKey][]baobabstep.Service
 	templates map[Digest]*Template
 }
 
-// decoded is one object after decoding; one field is set.
-type decoded struct {
+// decodedObject is one object after decoding; exactly one field is set.
+type decodedObject struct {
 	manifest   *Manifest
 	page       *Page
 	account    *Account
 	quarantine []QuarantineItem
 }
 
-// renderKey names the rendered services of an account: they depend on the
-// account and on the templates it uses, not on the version.
+// renderKey identifies the rendered services of an account. They depend on the
+// account and the templates that it uses, not on the version.
 type renderKey struct {
 	account   Digest
 	templates Digest
 }
 
-// NewBuilder returns a builder that knows nothing.
+// NewBuilder returns a builder with empty caches.
 func NewBuilder() *Builder {
 	return &Builder{
-		objects: map[Digest]*decoded{}, templates: map[Digest]*Template{}, rendered: map[renderKey][]baobabstep.Service{},
+		objects: map[Digest]*decodedObject{}, templates: map[Digest]*Template{}, rendered: map[renderKey][]baobabstep.Service{},
 	}
 }
 
-// Clone returns a builder that knows the same and goes its own way. What both
-// know is immutable.
+// Clone returns an independent builder with the same cached objects, which are
+// immutable.
 func (b *Builder) Clone() *Builder {
 	return &Builder{objects: maps.Clone(b.objects), templates: maps.Clone(b.templates), rendered: maps.Clone(b.rendered)}
 }
 
-// Set is one version, decoded.
+// Set is one version with its decoded documents.
 type Set struct {
 	Digest   Digest
 	Manifest *Manifest
-	// Config is the rendered version; its Digest is the manifest's.
+	// Config is the rendered configuration; its Digest is the manifest's.
 	Config *baobabstep.Config
 
 	refs       map[refKey]Ref
@@ -60,8 +59,9 @@
 	pages      map[int]Digest
 }
 
-// Build makes the version whose manifest is given. While objects are missing
-// it returns them and no set; previous, which may be nil, tells their bases.
+// Build builds the version with the given manifest. If objects are missing it
+// returns those instead of a set, each with its base in previous, which may be
+// nil.
 func (b *Builder) Build(manifest Digest, objects Objects, previous *Set) (*Set, []Missing, error) {
 	s := &Set{Digest: manifest, refs: map[refKey]Ref{}, pages: map[int]Digest{}}
 	missing, err := b.load(s, objects, previous)
@@ -76,8 +76,8 @@
 	return s, nil, nil
 }
 
-// decodeObject returns the decoded object, or false while it is missing.
-func decodeObject[T any](b *Builder, d Digest, objects Objects, get func(*decoded) **T) (*T, bool, error) {
+// decodeObject returns the decoded object, or false if it is missing.
+func decodeObject[T any](b *Builder, d Digest, objects Objects, get func(*decodedObject) **T) (*T, bool, error) {
 	e := b.objects[d]
 	if e != nil && *get(e) != nil {
 		return *get(e), true, nil
@@ -91,7 +91,7 @@
 		return nil, true, err
 	}
 	if e == nil {
-		e = &decoded{}
+		e = &decodedObject{}
 		b.objects[d] = e
 	}
 	*get(e) = v
@@ -99,29 +99,29 @@
 }
 
 func (b *Builder) load(s *Set, objects Objects, previous *Set) (missing []Missing, err error) {
-	lacks := func(d, base Digest) { missing = append(missing, Missing{d, base}) }
+	addMissing := func(d, base Digest) { missing = append(missing, Missing{d, base}) }
 	if previous == nil {
 		previous = &Set{}
 	}
 	var ok bool
-	s.Manifest, ok, err = decodeObject(b, s.Digest, objects, func(e *decoded) **Manifest { return &e.manifest })
+	s.Manifest, ok, err = decodeObject(b, s.Digest, objects, func(e *decodedObject) **Manifest { return &e.manifest })
 	if err != nil {
 		return nil, err
 	}
 	if !ok {
-		lacks(s.Digest, previous.Digest)
+		addMissing(s.Digest, previous.Digest)
 		return missing, nil
 	}
 	if err := s.Manifest.check(); err != nil {
 		return nil, err
 	}
 	for _, ref := range s.Manifest.Pages {
-		page, ok, err := decodeObject(b, ref.Digest, objects, func(e *decoded) **Page { return &e.page })
+		page, ok, err := decodeObject(b, ref.Digest, objects, func(e *decodedObject) **Page { return &e.page })
 		if err != nil {
 			return nil, err
 		}
 		if !ok {
-			lacks(ref.Digest, previous.pages[ref.Number])
+			addMissing(ref.Digest, previous.pages[ref.Number])
 			continue
 		}
 		s.pages[ref.Number] = ref.Digest
@@ -134,22 +134,22 @@
 		if previous.Manifest != nil {
 			base = previous.Manifest.Quarantine
 		}
-		if err := b.loadQuarantine(s, q, objects, func() { lacks(q, base) }); err != nil {
+		if err := b.loadQuarantine(s, q, objects, func() { addMissing(q, base) }); err != nil {
 			return nil, err
 		}
 	}
-	return missing, b.loadDocuments(s, objects, previous, lacks)
+	return missing, b.loadDocuments(s, objects, previous, addMissing)
 }
 
-func (b *Builder) loadQuarantine(s *Set, d Digest, objects Objects, lacks func()) error {
+func (b *Builder) loadQuarantine(s *Set, d Digest, objects Objects, addMissing func()) error {
 	e := b.objects[d]
 	if e == nil {
 		raw, ok := objects(d)
 		if !ok {
-			lacks()
+			addMissing()
 			return nil
 		}
-		e = &decoded{}
+		e = &decodedObject{}
 		if err := Decode(raw, &e.quarantine); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func (b *Builder) loadDocuments(s *Set, objects Objects, previous *Set, lacks func(d, base Digest)) error {
+func (b *Builder) loadDocuments(s *Set, objects Objects, previous *Set, addMissing func(d, base Digest)) error {
 	s.accounts = make(map[string]*Account, len(s.refs))
 	s.templates = map[string]*Template{}
 	for k, r := range s.refs {
@@ -170,18 +170,18 @@
 				return err
 			}
 			if !ok {
-				lacks(r.Digest, base)
+				addMissing(r.Digest, base)
 				continue
 			}
 			s.templates[k.name] = t
 			continue
 		}
-		a, ok, err := decodeObject(b, r.Digest, objects, func(e *decoded) **Account { return &e.account })
+		a, ok, err := decodeObject(b, r.Digest, objects, func(e *decodedObject) **Account { return &e.account })
 		if err != nil {
 			return err
 		}
 		if !ok {
-			lacks(r.Digest, base)
+			addMissing(r.Digest, base)
 			continue
 		}
 		s.accounts[k.name] = a
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// template decodes a template and checks it once.
+// template returns the decoded and checked template, or false if it is missing.
 func (b *Builder) template(d Digest, objects Objects) (*Template, bool, error) {
 	if t := b.templates[d]; t != nil {
 		return t, true, nil
@@ -224,11 +224,11 @@
 	for name, a := range s.accounts {
 		c.Services = append(c.Services, b.renderCached(&p, a, s.refs[refKey{ObjectAccount, name}].Digest, s)...)
 	}
-	if err := p.err("config.render"); err != nil {
+	if err := p.toError("config.render"); err != nil {
 		return err
 	}
 	var err error
-	s.Config, err = finish(c)
+	s.Config, err = checkAndIndex(c)
 	return err
 }
 
@@ -245,7 +245,7 @@
 	return services
 }
 
-// templateDigest identifies the contents of all templates that an account uses.
+// templateDigest returns one digest over all templates that an account uses.
 func (s *Set) templateDigest(a *Account) Digest {
 	var all []byte
 	for i := range a.Services {
@@ -255,7 +255,7 @@
 	return MakeDigest(all)
 }
 
-// prune forgets what the set does not use.
+// prune removes cached objects that the set does not use.
 func (b *Builder) prune(s *Set) {
 	used := s.reachable()
 	for d := range b.objects {
@@ -278,10 +278,10 @@
 	}
 }
 
-// maxStaleRendered bounds the rendered accounts kept beyond twice those in use.
+// maxStaleRendered limits the rendered accounts kept beyond twice those in use.
 const maxStaleRendered = 64
 
-// reachable returns the names of all objects of the version.
+// reachable returns the digests of all objects of the version.
 func (s *Set) reachable() map[Digest]struct{} {
 	used := make(map[Digest]struct{}, len(s.refs)+len(s.pages)+2)
 	used[s.Digest] = struct{}{}
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -9,24 +9,24 @@
 	"baobabstep"
 )
 
-// Change is what one operator wants changed at once.
+// Change is a set of edits that one operator applies atomically.
 type Change struct {
-	// ID tells the change apart from all others; it makes it possible to
-	// find out whether a change whose answer was lost took effect.
+	// ID is unique to the change. It is used to find out whether a change
+	// whose answer was lost took effect.
 	ID       string `json:"id"`
 	Operator string `json:"operator"`
 	Reason   string `json:"reason"`
-	// Action names the operator's command, as "account accept".
+	// Action is the operator's command, such as "account accept".
 	Action string `json:"action"`
 	Edits  []Edit `json:"edits"`
-	// Confirm names the dangers that are meant.
+	// Confirm names the dangers that the operator confirms.
 	Confirm []string `json:"confirm"`
-	// Merge allows edits to be combined with later changes to other fields.
+	// Merge combines edits with concurrent changes to other fields.
 	Merge bool `json:"merge"`
-	// DryRun stops before anything is written.
+	// DryRun computes the result without writing anything.
 	DryRun bool `json:"dry_run"`
 	// Lift, instead of edits, ends the quarantine of addresses whose Until is
-	// not greater. VMs make such a change by themselves; see
+	// not greater. VMs submit such changes automatically; see
 	// [Replica.Liftable].
 	Lift uint64 `json:"lift"`
 }
@@ -35,27 +35,28 @@
 type Edit struct {
 	Kind ObjectKind `json:"kind"`
 	Name string     `json:"name"`
-	// Base is the document that the edit started from, empty for a new one.
+	// Base is the document that was edited, empty for a new one.
 	Base json.RawMessage `json:"base,omitempty"`
-	// Document is what it shall become, empty to remove it.
+	// Document is the new document, empty to remove it.
 	Document json.RawMessage `json:"document,omitempty"`
-	// Overwrite leaves out the comparison with Base. Only an import, which
-	// replaces everything, sets it.
+	// Overwrite skips the comparison with Base. Only an import, which
+	// replaces all documents, sets it.
 	Overwrite bool `json:"overwrite,omitempty"`
 }
 
 // Limits of a change.
 const (
-	maxText  = 512
-	maxEdits = 8192
-	// maxDifferences and maxDifferenceLine bound an audit entry to some
-	// 10 kB, so that a segment of the trail stays below a megabyte.
+	maxTextBytes = 512
+	maxEdits     = 8192
+	// maxDifferences (lines) and maxDifferenceLine (bytes) limit an audit
+	// entry to about 10 kB, so that a segment of the audit trail stays below
+	// one megabyte.
 	maxDifferences    = 32
 	maxDifferenceLine = 300
 )
 
-// Draft is an edit of an account that has not been accepted. It is kept under
-// the account and the operator.
+// Draft is an edit of an account that has not been accepted. It is stored per
+// account and operator; see [DraftKey].
 type Draft struct {
 	Format      int             `json:"format"`
 	Account     string          `json:"account"`
@@ -66,12 +67,12 @@
 	At          time.Time       `json:"at"`
 }
 
-// check refuses a change that cannot be recorded properly.
+// check validates the change before it is applied.
 func (c *Change) check() error {
 	var p Problems
 	for _, f := range []struct{ name, value string }{{"id", c.ID}, {"operator", c.Operator}, {"reason", c.Reason}, {"action", c.Action}} {
-		if strings.TrimSpace(f.value) == "" || len(f.value) > maxText {
-			p.add("change."+f.name, fmt.Sprintf("%q", f.value), "1 to %d bytes of text", maxText)
+		if strings.TrimSpace(f.value) == "" || len(f.value) > maxTextBytes {
+			p.add("change."+f.name, fmt.Sprintf("%q", f.value), "1 to %d bytes of text", maxTextBytes)
 		}
 	}
 	if len(c.Edits) == 0 && c.Lift == 0 || len(c.Edits) > maxEdits {
@@ -90,11 +91,11 @@
 		}
 		checkName(&p, "change.edits.name", e.Name)
 	}
-	return p.err("config.change")
+	return p.toError("config.change")
 }
 
 // canonical decodes a document strictly and encodes it again, so that equal
-// contents have equal digests.
+// content has an equal digest.
 func canonical(kind ObjectKind, name string, document []byte) ([]byte, error) {
 	var v any
 	var found *string
@@ -109,7 +110,7 @@
 		return nil, err
 	}
 	if *found != name {
-		return nil, Problems{{Path: fmt.Sprintf("%v.name", kind), Value: *found, Allowed: name}}.err("config.change")
+		return nil, Problems{{Path: fmt.Sprintf("%v.name", kind), Value: *found, Allowed: name}}.toError("config.change")
 	}
 	b := Encode(v)
 	if len(b) > MaxDocument {
@@ -118,12 +119,12 @@
 	return b, nil
 }
 
-// CanonicalAccount returns the account's JSON in its one form.
+// CanonicalAccount returns the canonical JSON of the account.
 func CanonicalAccount(name string, document []byte) ([]byte, error) {
 	return canonical(ObjectAccount, name, document)
 }
 
-// CanonicalTemplate returns the template's JSON in its one form.
+// CanonicalTemplate returns the canonical JSON of the template.
 func CanonicalTemplate(name string, document []byte) ([]byte, error) {
 	return canonical(ObjectTemplate, name, document)
 }
--- a/core/config/danger.go
+++ b/core/config/danger.go
@@ -11,47 +11,47 @@
 )
 
 // MaxCapacityLoss is the share of a service's capacity that one change may
-// take away without being confirmed by name.
+// remove without confirmation by the operator.
 const MaxCapacityLoss = 0.34
 
-// Danger is a change that is valid and still likely to be a mistake. It is
-// carried out only if the operator names it.
+// Danger is a valid change that is likely to be a mistake. It is accepted only
+// if the operator confirms it by name.
 type Danger struct {
-	// Name is what has to be named: the service, as "account/service".
+	// Name is the name to confirm: the service, as "account/service".
 	Name string `json:"name"`
 	Text string `json:"text"`
 }
 
-// dangers compares two configurations service by service.
-func dangers(before, after *baobabstep.Config) []Danger {
+// findDangers returns the dangers of replacing before by after.
+func findDangers(before, after *baobabstep.Config) []Danger {
 	if before == nil {
 		return nil
 	}
 	var out []Danger
 	for i := range before.Services {
-		was := &before.Services[i]
-		now := after.Service(was.ID)
-		if now == nil {
-			out = append(out, Danger{was.Name, fmt.Sprintf("the service and its %d targets are removed", len(was.Targets))})
+		old := &before.Services[i]
+		updated := after.Service(old.ID)
+		if updated == nil {
+			out = append(out, Danger{old.Name, fmt.Sprintf("the service and its %d targets are removed", len(old.Targets))})
 			continue
 		}
-		if sameTargets(was, now) && was.Address == now.Address {
+		if sameTargets(old, updated) && old.Address == updated.Address {
 			continue
 		}
-		if was.Address != now.Address {
-			out = append(out, Danger{was.Name, fmt.Sprintf("callers reach the service at %v, no longer at %v", now.Address, was.Address)})
+		if old.Address != updated.Address {
+			out = append(out, Danger{old.Name, fmt.Sprintf("callers reach the service at %v, no longer at %v", updated.Address, old.Address)})
 		}
-		c0, s0 := capacity(was)
-		c1, s1 := capacity(now)
-		if lost(c0, c1) > MaxCapacityLoss || lost(s0, s1) > MaxCapacityLoss {
-			out = append(out, Danger{was.Name, fmt.Sprintf("connections for new work go from %d to %d and slots from %d to %d; at most %.0f %% may go at once", c0, c1, s0, s1, 100*MaxCapacityLoss)})
+		c0, s0 := capacity(old)
+		c1, s1 := capacity(updated)
+		if lostShare(c0, c1) > MaxCapacityLoss || lostShare(s0, s1) > MaxCapacityLoss {
+			out = append(out, Danger{old.Name, fmt.Sprintf("connections for new work go from %d to %d and slots from %d to %d; at most %.0f %% may go at once", c0, c1, s0, s1, 100*MaxCapacityLoss)})
 		}
 	}
 	return out
 }
 
-// sameTargets tells quickly that nothing changed: unchanged accounts share
-// their rendered targets between versions.
+// sameTargets reports whether both services share one slice of targets, as
+// unchanged accounts do between versions. It compares no contents.
 func sameTargets(a, b *baobabstep.Service) bool {
 	return len(a.Targets) == len(b.Targets) && (len(a.Targets) == 0 || &a.Targets[0] == &b.Targets[0])
 }
@@ -66,14 +66,14 @@
 	return connections, slots
 }
 
-func lost(before, after int) float64 {
+func lostShare(before, after int) float64 {
 	if before == 0 {
 		return 0
 	}
 	return float64(before-after) / float64(before)
 }
 
-// unconfirmed returns the dangers that the operator did not name.
+// unconfirmed returns the dangers that the operator did not confirm.
 func unconfirmed(all []Danger, confirmed []string) []Danger {
 	var out []Danger
 	for _, d := range all {
@@ -94,23 +94,23 @@
 
 // Bounds of the quarantine.
 const (
-	// quarantineAge is how long an address stays in quarantine while it is
-	// not known that the version is in force everywhere. A VM that has not
-	// heard a version for so long is cut off from everything, and a target
-	// refuses a packet that names another service.
-	quarantineAge = 2 * time.Hour
-	maxQuarantine = 4096
+	// maxQuarantineAge is how long an address stays in quarantine if the
+	// version is not known to be in force everywhere. A VM that has learnt no
+	// version for that long has lost all connectivity, and a target rejects
+	// packets that name another service.
+	maxQuarantineAge   = 2 * time.Hour
+	maxQuarantineItems = 4096
 )
 
-// nextQuarantine lists the addresses that the version takes away from a
-// service, beside those on the list that are still young. A VM that acts on an
-// earlier version may send the old service's packets there, so the address
-// gets no work from another service before the version is in force everywhere,
-// which is when the address is lifted.
+// nextQuarantine returns the quarantine of version after: the items that are
+// neither lifted nor expired, and the addresses that after removes from a
+// service. A VM with an earlier version may still send the old service's packets
+// there, so the address gets no work from another service until the version is
+// in force everywhere.
 func nextQuarantine(now time.Time, items []QuarantineItem, lift uint64, before, after *baobabstep.Config) []QuarantineItem {
 	var out []QuarantineItem
 	for _, q := range items {
-		if q.Until > lift && now.Sub(q.Since) < quarantineAge {
+		if q.Until > lift && now.Sub(q.Since) < maxQuarantineAge {
 			out = append(out, q)
 		}
 	}
@@ -118,9 +118,9 @@
 		return out
 	}
 	for i := range before.Services {
-		was := &before.Services[i]
-		current := after.Service(was.ID)
-		if current != nil && sameTargets(was, current) {
+		old := &before.Services[i]
+		current := after.Service(old.ID)
+		if current != nil && sameTargets(old, current) {
 			continue
 		}
 		kept := map[netip.AddrPort]bool{}
@@ -129,20 +129,20 @@
 				kept[current.Targets[j].Address] = true
 			}
 		}
-		for j := range was.Targets {
-			if a := was.Targets[j].Address; !kept[a] {
-				out = append(out, QuarantineItem{Address: a.String(), Service: was.ID, Until: after.Version, Since: now})
+		for j := range old.Targets {
+			if a := old.Targets[j].Address; !kept[a] {
+				out = append(out, QuarantineItem{Address: a.String(), Service: old.ID, Until: after.Version, Since: now})
 			}
 		}
 	}
-	return out[max(0, len(out)-maxQuarantine):]
+	return out[max(0, len(out)-maxQuarantineItems):]
 }
 
 // Liftable returns the version up to which addresses may leave quarantine, or 0.
-// It is that of a version known to be in force on every VM, or of addresses that
-// have been in quarantine for long. To save calls it answers on one VM only, as
-// far as views agree; two that lift the same do no harm, since the second
-// changes nothing.
+// An address may leave once its version is known to be in force on every VM, or
+// after maxQuarantineAge. To save platform calls only one VM returns a version,
+// as far as the VMs' views agree. Two VMs that lift the same addresses do no
+// harm, since the second change has no effect.
 func (r *Replica) Liftable(now time.Time) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,7 +152,7 @@
 		return 0
 	}
 	everywhere, complete := s.Manifest.Version, true
-	for _, d := range r.knownCentres(now) {
+	for _, d := range r.knownDataCentres(now) {
 		fresh := time.Duration(d.AgeMS)*time.Millisecond < peerExpiry && d.Heard >= d.VMs
 		if fresh && d.DataCentre < own {
 			return 0
@@ -162,7 +162,7 @@
 	}
 	var lift uint64
 	for _, q := range s.quarantine {
-		if complete && q.Until <= everywhere || now.Sub(q.Since) >= quarantineAge {
+		if complete && q.Until <= everywhere || now.Sub(q.Since) >= maxQuarantineAge {
 			lift = max(lift, q.Until)
 		}
 	}
--- a/core/config/diff.go
+++ b/core/config/diff.go
@@ -18,9 +18,9 @@
 	Before string `json:"before"`
 	After  string `json:"after"`
 
-	path  []string
-	after any
-	gone  bool
+	path    []string
+	after   any
+	removed bool
 }
 
 // String returns the change in one line.
@@ -34,9 +34,9 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Path, c.Before, c.After)
 }
 
-// named is a JSON list of objects that have names. Its items are compared by
-// name, so that an item added in front does not make all others differ.
-type named struct {
+// namedList is a JSON list of objects with a "name". Its items are compared by
+// name, so that inserting an item does not make all later ones differ.
+type namedList struct {
 	order []string
 	items map[string]any
 }
@@ -48,7 +48,7 @@
 		return map[string]any{}, nil
 	}
 	var v any
-	if err := decodeAny(document, &v); err != nil {
+	if err := decodeStrict(document, &v); err != nil {
 		return nil, err
 	}
 	return nodeOf(v), nil
@@ -68,11 +68,11 @@
 }
 
 func listNode(list []any) any {
-	n := &named{items: make(map[string]any, len(list))}
+	n := &namedList{items: make(map[string]any, len(list))}
 	for _, item := range list {
 		m, ok := item.(map[string]any)
 		name, isString := m["name"].(string)
-		if _, twice := n.items[name]; !ok || !isString || twice {
+		if _, duplicate := n.items[name]; !ok || !isString || duplicate {
 			return list
 		}
 		n.order = append(n.order, name)
@@ -93,7 +93,7 @@
 			out[k] = fromNode(n[k])
 		}
 		return out
-	case *named:
+	case *namedList:
 		out := make([]any, 0, len(n.order))
 		for _, name := range n.order {
 			out = append(out, fromNode(n.items[name]))
@@ -103,15 +103,15 @@
 	return n
 }
 
-// children returns the parts of a node that has parts.
-func children(n any) (map[string]any, bool) {
+// childNodes returns the children of a node by name, or false for a leaf.
+func childNodes(n any) (map[string]any, bool) {
 	switch n := n.(type) {
 	case map[string]any:
 		return n, true
-	case *named:
+	case *namedList:
 		return n.items, true
 	case []any:
-		// An empty list matches a named one.
+		// An empty list may be compared with a namedList.
 		if len(n) == 0 {
 			return map[string]any{}, true
 		}
@@ -119,7 +119,7 @@
 	return nil, false
 }
 
-// Diff compares two documents field by field; an empty one has no fields.
+// Diff returns the fields that differ. An empty document has no fields.
 func Diff(before, after []byte) ([]FieldChange, error) {
 	a, err := toNode(before)
 	if err != nil {
@@ -136,8 +136,8 @@
 	if reflect.DeepEqual(a, b) {
 		return out
 	}
-	as, aParts := children(a)
-	bs, bParts := children(b)
+	as, aParts := childNodes(a)
+	bs, bParts := childNodes(b)
 	if !aParts || !bParts {
 		return append(out, fieldChange(path, a, b))
 	}
@@ -157,9 +157,9 @@
 		bv, inB := bs[k]
 		switch {
 		case !inA:
-			out = append(out, FieldChange{Path: strings.Join(at, "."), After: show(bv), path: at, after: bv})
+			out = append(out, FieldChange{Path: strings.Join(at, "."), After: formatNode(bv), path: at, after: bv})
 		case !inB:
-			out = append(out, FieldChange{Path: strings.Join(at, "."), Before: show(av), path: at, gone: true})
+			out = append(out, FieldChange{Path: strings.Join(at, "."), Before: formatNode(av), path: at, removed: true})
 		default:
 			out = diffNodes(out, at, av, bv)
 		}
@@ -168,26 +168,26 @@
 }
 
 func fieldChange(path []string, a, b any) FieldChange {
-	return FieldChange{Path: strings.Join(path, "."), Before: show(a), After: show(b), path: path, after: b}
+	return FieldChange{Path: strings.Join(path, "."), Before: formatNode(a), After: formatNode(b), path: path, after: b}
 }
 
-func show(n any) string {
+func formatNode(n any) string {
 	b, err := json.Marshal(fromNode(n))
 	if err != nil {
 		return fmt.Sprint(n)
 	}
-	return shorten(string(b))
+	return truncate(string(b))
 }
 
-// Collision is a field that two operators changed differently.
+// Collision is a field that two operators set to different values.
 type Collision struct {
 	Path   string `json:"path"`
 	Mine   string `json:"mine"`
 	Theirs string `json:"theirs"`
 }
 
-// Merge applies to theirs what mine changed of base. Fields that both changed,
-// and not to the same value, are collisions; then there is no merged document.
+// Merge applies the changes from base to mine to theirs. Fields that both changed
+// to different values are collisions; then there is no merged document.
 func Merge(base, mine, theirs []byte) (merged []byte, collisions []Collision, err error) {
 	myChanges, err := Diff(base, mine)
 	if err != nil {
@@ -199,7 +199,7 @@
 	}
 	for _, m := range myChanges {
 		for _, t := range theirChanges {
-			if overlap(m.path, t.path) && !sameChange(m, t) {
+			if pathsOverlap(m.path, t.path) && !sameChange(m, t) {
 				collisions = append(collisions, Collision{Path: m.Path, Mine: m.After, Theirs: t.After})
 			}
 		}
@@ -212,7 +212,7 @@
 		return nil, nil, err
 	}
 	for _, m := range myChanges {
-		root = apply(root, m.path, m.after, m.gone)
+		root = setNode(root, m.path, m.after, m.removed)
 	}
 	merged, err = json.Marshal(fromNode(root))
 	if err != nil {
@@ -221,38 +221,38 @@
 	return merged, nil, nil
 }
 
-func overlap(a, b []string) bool {
+func pathsOverlap(a, b []string) bool {
 	n := min(len(a), len(b))
 	return slices.Equal(a[:n], b[:n])
 }
 
 func sameChange(a, b FieldChange) bool {
-	return len(a.path) == len(b.path) && a.gone == b.gone && reflect.DeepEqual(a.after, b.after)
+	return len(a.path) == len(b.path) && a.removed == b.removed && reflect.DeepEqual(a.after, b.after)
 }
 
-// apply sets or removes the node at path and returns the root.
-func apply(n any, path []string, to any, gone bool) any {
+// setNode sets or removes the node at path and returns the root.
+func setNode(n any, path []string, to any, remove bool) any {
 	if len(path) == 0 {
 		return to
 	}
 	if empty, ok := n.([]any); ok && len(empty) == 0 {
-		n = &named{items: map[string]any{}}
+		n = &namedList{items: map[string]any{}}
 	}
-	parts, ok := children(n)
+	parts, ok := childNodes(n)
 	if !ok {
 		return n
 	}
 	key := path[0]
-	_, was := parts[key]
-	if len(path) == 1 && gone {
+	_, existed := parts[key]
+	if len(path) == 1 && remove {
 		delete(parts, key)
-		if list, ok := n.(*named); ok {
+		if list, ok := n.(*namedList); ok {
 			list.order = slices.DeleteFunc(list.order, func(s string) bool { return s == key })
 		}
 		return n
 	}
-	parts[key] = apply(parts[key], path[1:], to, gone)
-	if list, ok := n.(*named); ok && !was {
+	parts[key] = setNode(parts[key], path[1:], to, remove)
+	if list, ok := n.(*namedList); ok && !existed {
 		list.order = append(list.order, key)
 	}
 	return n
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -11,18 +11,18 @@
 	"baobabstep"
 )
 
-// Format is the version of the JSON forms of this package.
+// Format is the version of the JSON encoding of documents, manifest and head.
 const Format = 1
 
-// MaxDocument bounds the bytes of one document; the platform takes no value
-// above a megabyte.
+// MaxDocument limits the bytes of one document. The platform accepts no value
+// above one megabyte.
 const MaxDocument = 1 << 20
 
-// Template is a shared description of a kind of service.
+// Template describes services that several accounts have in common.
 type Template struct {
 	Format int    `json:"format"`
 	Name   string `json:"name"`
-	// SchemaVersion grows by one with each change of Parameters.
+	// SchemaVersion is incremented with each change of Parameters.
 	SchemaVersion int         `json:"schema_version"`
 	Doc           string      `json:"doc"`
 	Parameters    []Parameter `json:"parameters"`
@@ -34,19 +34,19 @@
 	Name string `json:"name"`
 	Type Type   `json:"type"`
 	Doc  string `json:"doc"`
-	// Default is used where an account gives no value; without it the
-	// parameter is required.
+	// Default is used if an account sets no value. A parameter without a
+	// default is required.
 	Default json.RawMessage `json:"default,omitempty"`
-	// Min and Max bound a number, integer or duration, and the length of a
-	// list or string; both ends are allowed.
+	// Min and Max are the inclusive bounds of a number, integer or duration,
+	// or of the length of a list or string.
 	Min json.RawMessage `json:"min,omitempty"`
 	Max json.RawMessage `json:"max,omitempty"`
-	// Allowed lists the only values of a string, or of a string list's items.
+	// Allowed lists the permitted values of a string, or of a string list's items.
 	Allowed []string `json:"allowed,omitempty"`
 }
 
-// Shape says where each setting of a service comes from: a literal, or
-// "$name" for the value of a parameter.
+// Shape maps each setting of a service to a literal, or to the value of a
+// parameter, written as "$name".
 type Shape struct {
 	Address         json.RawMessage `json:"address,omitempty"`
 	DataCentres     json.RawMessage `json:"data_centres,omitempty"`
@@ -83,12 +83,12 @@
 	Name       string `json:"name"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Slots and Connections replace the template's where they are not zero.
+	// Slots and Connections override the template's if they are not zero.
 	Slots       int  `json:"slots,omitempty"`
 	Connections int  `json:"connections,omitempty"`
 	Drained     bool `json:"drained,omitempty"`
-	// Evacuated is set while the target's data centre is; it ends with that, and
-	// leaves Drained as it is.
+	// Evacuated is set while the target's data centre is evacuated. It is
+	// independent of Drained.
 	Evacuated bool `json:"evacuated,omitempty"`
 }
 
@@ -99,67 +99,68 @@
 	Class string `json:"class"`
 }
 
-// Problem is one reason why a document was refused.
+// Problem is one reason why a document is invalid.
 type Problem struct {
-	// Path names the value, as "accounts.tas-south.services.fixtures.slots".
+	// Path locates the value, such as "accounts.tas-south.services.fixtures.slots".
 	Path string `json:"path"`
-	// Value is what was found there.
+	// Value is the rejected value.
 	Value string `json:"value"`
-	// Allowed says what may stand there.
+	// Allowed describes the permitted values.
 	Allowed string `json:"allowed"`
 }
 
-// Problems is the error of a validation; it holds at least one problem.
+// Problems is the error of a failed validation; it holds at least one problem.
 type Problems []Problem
 
-// maxShown bounds the problems in an error's text.
-const maxShown = 8
+// maxProblemsShown limits the problems in an error's text.
+const maxProblemsShown = 8
 
-// Error lists the first problems, one after the other.
+// Error lists the first maxProblemsShown problems.
 func (p Problems) Error() string {
 	var lines []string
-	for i, one := range p {
-		if i == maxShown {
-			lines = append(lines, fmt.Sprintf("and %d more", len(p)-maxShown))
+	for i, problem := range p {
+		if i == maxProblemsShown {
+			lines = append(lines, fmt.Sprintf("and %d more", len(p)-maxProblemsShown))
 			break
 		}
-		lines = append(lines, fmt.Sprintf("%s: got %s, want %s", one.Path, one.Value, one.Allowed))
+		lines = append(lines, fmt.Sprintf("%s: got %s, want %s", problem.Path, problem.Value, problem.Allowed))
 	}
 	return strings.Join(lines, "; ")
 }
 
-// add notes one problem.
+// add appends one problem.
 func (p *Problems) add(path string, value any, allowed string, args ...any) {
-	*p = append(*p, Problem{Path: path, Value: shorten(fmt.Sprint(value)), Allowed: fmt.Sprintf(allowed, args...)})
+	*p = append(*p, Problem{Path: path, Value: truncate(fmt.Sprint(value)), Allowed: fmt.Sprintf(allowed, args...)})
 }
 
-// err returns nil or the problems as an error with CodeInvalid.
-func (p Problems) err(op string) error {
+// toError returns the problems as an error with CodeInvalid, or nil if there are none.
+func (p Problems) toError(op string) error {
 	if len(p) == 0 {
 		return nil
 	}
 	return &baobabstep.Error{Code: baobabstep.CodeInvalid, Op: op, Err: p}
 }
 
+// maxValueShown is the maximum length of a value in an error's text, in bytes.
 const maxValueShown = 120
 
-func shorten(s string) string {
+func truncate(s string) string {
 	if len(s) > maxValueShown {
 		return s[:maxValueShown] + "..."
 	}
 	return s
 }
 
-// Decode reads one JSON value strictly: unknown fields, text after the value
-// and more than MaxDocument bytes are refused with CodeInvalid.
+// Decode reads one JSON value strictly. Unknown fields and text after the value
+// return CodeInvalid, more than MaxDocument bytes return CodeTooLarge.
 func Decode(data []byte, to any) error {
 	if len(data) > MaxDocument {
 		return baobabstep.Errorf(baobabstep.CodeTooLarge, "config.decode", "got %d bytes, want at most %d", len(data), MaxDocument)
 	}
-	return decodeAny(data, to)
+	return decodeStrict(data, to)
 }
 
-func decodeAny(data []byte, to any) error {
+func decodeStrict(data []byte, to any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(to); err != nil {
@@ -171,21 +172,21 @@
 	return nil
 }
 
-// Encode writes a document in the one form whose digest is its name.
+// Encode returns the canonical JSON of a document, of which its digest is made.
 func Encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("config: a document that was decoded does not encode: %v", err))
+		panic(fmt.Sprintf("config: encode a document: %v", err))
 	}
 	return b
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9_.-]{0,61}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9_.-]{0,61}[a-z0-9])?$`)
 
 const nameRule = "1 to 63 of a-z 0-9 _ . -, with a letter or digit at both ends"
 
 func checkName(p *Problems, path, name string) {
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		p.add(path, fmt.Sprintf("%q", name), nameRule)
 	}
 }
--- a/core/config/edit.go
+++ b/core/config/edit.go
@@ -9,8 +9,9 @@
 )
 
 // SetField returns the document with the field at path set to a JSON value, or
-// removed if raw is empty. Items of lists are found by their names, as in
-// "services.fixtures.values.queue_limit".
+// removed if raw is empty. List items are addressed by name, as in
+// "services.fixtures.values.queue_limit". It returns CodeNotFound if the parent of
+// the field does not exist.
 func SetField(document []byte, path string, raw json.RawMessage) ([]byte, error) {
 	const op = "config.set_field"
 	root, err := toNode(document)
@@ -26,7 +27,7 @@
 	steps := strings.Split(path, ".")
 	at := root
 	for i, step := range steps {
-		parts, ok := children(at)
+		parts, ok := childNodes(at)
 		if !ok {
 			return nil, baobabstep.Errorf(baobabstep.CodeNotFound, op, "got path %s, want one whose part %s exists", path, strings.Join(steps[:i], "."))
 		}
@@ -36,7 +37,7 @@
 		}
 		at = next
 	}
-	root = apply(root, steps, to, len(raw) == 0)
+	root = setNode(root, steps, to, len(raw) == 0)
 	out, err := json.Marshal(fromNode(root))
 	if err != nil {
 		return nil, baobabstep.Errorf(baobabstep.CodeInternal, op, "%w", err)
@@ -44,45 +45,45 @@
 	return out, nil
 }
 
-// DrainEdit returns the edit that sets or clears the drained mark of a target.
+// DrainEdit returns the edit that sets or clears Drained of a target.
 func (s *Set) DrainEdit(target string, drained bool) (Edit, error) {
 	t := s.Config.Target(baobabstep.MakeTargetID(target))
 	if t == nil {
 		return Edit{}, baobabstep.Errorf(baobabstep.CodeNotFound, "config.drain", "got target %q, want one that is configured", target)
 	}
 	account := s.Account(s.Config.Service(t.Service).Account)
-	changed, _, err := s.withTargets(account, func(v *TargetValue) bool {
-		marks := v.Name == target
-		if marks {
+	after, _, err := s.updateTargets(account, func(v *TargetValue) bool {
+		matches := v.Name == target
+		if matches {
 			v.Drained = drained
 		}
-		return marks
+		return matches
 	})
 	if err != nil {
 		return Edit{}, err
 	}
-	return accountEdit(account, changed), nil
+	return accountEdit(account, after), nil
 }
 
-// EvacuationEdits returns the edits that mark all targets of a data centre as
-// evacuated, or take the marks back; one for each account that has any. Targets that
-// are added later are not marked.
+// EvacuationEdits returns the edits that set or clear Evacuated of all targets of a
+// data centre, one for each account that has any. Targets that are added later are
+// not evacuated. It returns CodeNotFound if no target changes.
 func (s *Set) EvacuationEdits(dataCentre string, evacuated bool) ([]Edit, error) {
 	var edits []Edit
 	for _, ref := range s.Refs(ObjectAccount) {
 		account := s.Account(ref.Name)
-		changed, marked, err := s.withTargets(account, func(v *TargetValue) bool {
-			marks := v.DataCentre == dataCentre && v.Evacuated != evacuated
-			if marks {
+		after, changed, err := s.updateTargets(account, func(v *TargetValue) bool {
+			matches := v.DataCentre == dataCentre && v.Evacuated != evacuated
+			if matches {
 				v.Evacuated = evacuated
 			}
-			return marks
+			return matches
 		})
 		if err != nil {
 			return nil, err
 		}
-		if marked {
-			edits = append(edits, accountEdit(account, changed))
+		if changed {
+			edits = append(edits, accountEdit(account, after))
 		}
 	}
 	if len(edits) == 0 {
@@ -95,31 +96,31 @@
 	return Edit{Kind: ObjectAccount, Name: before.Name, Base: Encode(before), Document: Encode(after)}
 }
 
-// withTargets returns a copy of the account in which mark has changed targets, and
-// whether it changed any.
-func (s *Set) withTargets(a *Account, mark func(*TargetValue) bool) (_ *Account, marked bool, err error) {
+// updateTargets returns a copy of the account with update applied to each target.
+// update and changed report whether targets changed.
+func (s *Set) updateTargets(a *Account, update func(*TargetValue) bool) (_ *Account, changed bool, err error) {
 	out := *a
 	out.Services = slices.Clone(a.Services)
 	for i := range out.Services {
-		one := &out.Services[i]
+		service := &out.Services[i]
 		values := map[string]json.RawMessage{}
-		for name, raw := range one.Values {
+		for name, raw := range service.Values {
 			values[name] = raw
-			q := s.Template(one.Template).parameter(name)
+			q := s.Template(service.Template).parameter(name)
 			if q == nil || q.Type != TypeTargetList {
 				continue
 			}
 			var list []TargetValue
-			if err := decodeAny(raw, &list); err != nil {
+			if err := decodeStrict(raw, &list); err != nil {
 				return nil, false, err
 			}
 			for j := range list {
-				if mark(&list[j]) {
-					marked, values[name] = true, Encode(list)
+				if update(&list[j]) {
+					changed, values[name] = true, Encode(list)
 				}
 			}
 		}
-		one.Values = values
+		service.Values = values
 	}
-	return &out, marked, nil
+	return &out, changed, nil
 }
--- a/core/config/enum.go
+++ b/core/config/enum.go
@@ -25,7 +25,7 @@
 	TypeClassRuleList             // class_rule_list
 )
 
-// ObjectKind tells what a [Ref] refers to.
+// ObjectKind is the kind of document that a [Ref] refers to.
 type ObjectKind uint8
 
 // Kinds of documents.
--- a/core/config/evacuation_test.go
+++ b/core/config/evacuation_test.go
@@ -9,7 +9,7 @@
 	"baobabstep/core/config"
 )
 
-// drained returns the targets that get no new work.
+// drained returns the names of the targets that get no new work.
 func drained(set *config.Set) (names []string) {
 	for _, s := range set.Config.Services {
 		for _, target := range s.Targets {
@@ -21,9 +21,9 @@
 	return names
 }
 
-// An operator has drained one target of a data centre, then evacuates it, then ends
-// that. All its targets, of all accounts, get no new work meanwhile; afterwards the
-// one stays drained.
+// Guards against an evacuation that undrains a target: one target of a data centre is
+// drained before the evacuation. None of the targets gets new work meanwhile;
+// afterwards the one must still be drained.
 func TestEvacuationLeavesDrainedTargets(t *testing.T) {
 	c := qt.New(t)
 	s := newStore()
--- a/core/config/export.go
+++ b/core/config/export.go
@@ -10,17 +10,17 @@
 // Export is the whole configuration as one JSON file.
 type Export struct {
 	Format int `json:"format"`
-	// Version and Digest tell what was exported; an import ignores them.
+	// Version and Digest identify the exported version; an import ignores them.
 	Version   uint64            `json:"version"`
 	Digest    string            `json:"digest"`
 	Templates []json.RawMessage `json:"templates"`
 	Accounts  []json.RawMessage `json:"accounts"`
 }
 
-// DecodeExport reads the file of an export strictly.
+// DecodeExport decodes an export strictly.
 func DecodeExport(b []byte) (Export, error) {
 	var e Export
-	err := decodeAny(b, &e)
+	err := decodeStrict(b, &e)
 	return e, err
 }
 
@@ -36,8 +36,8 @@
 	return e
 }
 
-// Edits returns the edits that replace everything in force by the export:
-// documents that it does not have are removed. current may be nil.
+// Edits returns the edits that replace the whole configuration by the export.
+// Documents of current, which may be nil, that are not in the export are removed.
 func (e *Export) Edits(current *Set) ([]Edit, error) {
 	if e.Format != Format {
 		return nil, baobabstep.Errorf(baobabstep.CodeInvalid, "config.import", "got format %d, want %d", e.Format, Format)
--- a/core/config/fleet.go
+++ b/core/config/fleet.go
@@ -13,45 +13,45 @@
 
 const (
 	// defaultReaders is the number of VMs per data centre that read the
-	// platform: one may be down or paused without delaying a change.
+	// platform. With two, one may be down or paused without delaying a change.
 	defaultReaders = 2
-	// maxStandIns is the number of VMs, first by rank, that watch those above
-	// them, and silentAfter the silence after which one counts as gone. The
-	// membership notices a death too, later and for all.
-	maxStandIns = 8
-	silentAfter = 4 * time.Second
-	// fanout is the number of children in the tree that offers travel along.
-	fanout = 4
-	// trees is the number of trees. A VM that died takes its subtree with
-	// it in one tree, hardly in both.
-	trees = 2
+	// maxReaderCandidates is the number of VMs, highest in rank, that may read
+	// the platform in place of silent readers. A reader counts as silent after
+	// readerSilenceTimeout, which is shorter than the membership's detection.
+	maxReaderCandidates  = 8
+	readerSilenceTimeout = 4 * time.Second
+	// treeFanout is the number of children per VM in the announcement trees.
+	treeFanout = 4
+	// treeCount is the number of announcement trees. A dead VM cuts off its
+	// subtree in one tree, but rarely the same VMs in both.
+	treeCount = 2
 )
 
-// fleet is what the roles of the VMs follow from. It is immutable.
+// fleet is the view of all VMs that determines their roles. It is immutable.
 type fleet struct {
 	self baobabstep.VM
-	// others are the VMs that can be talked to, without self.
+	// others are the reachable VMs except self, including those that leave.
 	others []baobabstep.VMID
-	// near are the VMs of self's data centre, with self.
-	near []baobabstep.VMID
-	// far are the VMs of other data centres.
-	far []baobabstep.VMID
-	// readers are the readers of each data centre.
+	// localVMs are the VMs of self's data centre, including self.
+	localVMs []baobabstep.VMID
+	// remoteVMs are the VMs of other data centres.
+	remoteVMs []baobabstep.VMID
+	// readers are the VMs of each data centre that read the platform.
 	readers map[string][]baobabstep.VMID
-	// sizes counts the VMs of each data centre.
-	sizes   map[string]int
-	centres map[baobabstep.VMID]string
-	// order ranks the VMs of self's data centre; the first are the readers,
-	// and the next stand in for those that fall silent.
-	order []baobabstep.VMID
-	// since says when a VM of the data centre first appeared.
-	since map[baobabstep.VMID]time.Time
+	// vmCounts is the number of VMs in each data centre.
+	vmCounts     map[string]int
+	dataCentreOf map[baobabstep.VMID]string
+	// readerOrder ranks the VMs of self's data centre: the readers first, then
+	// the backup readers.
+	readerOrder []baobabstep.VMID
+	// firstSeen is when each VM of self's data centre first appeared.
+	firstSeen map[baobabstep.VMID]time.Time
 }
 
 func newFleet(self baobabstep.VM, all []baobabstep.VM, readers int) fleet {
 	f := fleet{
-		self: self, near: []baobabstep.VMID{self.ID}, readers: map[string][]baobabstep.VMID{}, sizes: map[string]int{},
-		centres: map[baobabstep.VMID]string{self.ID: self.DataCentre}, since: map[baobabstep.VMID]time.Time{},
+		self: self, localVMs: []baobabstep.VMID{self.ID}, readers: map[string][]baobabstep.VMID{}, vmCounts: map[string]int{},
+		dataCentreOf: map[baobabstep.VMID]string{self.ID: self.DataCentre}, firstSeen: map[baobabstep.VMID]time.Time{},
 	}
 	byCentre := map[string][]baobabstep.VMID{self.DataCentre: {self.ID}}
 	for i := range all {
@@ -60,40 +60,41 @@
 			continue
 		}
 		f.others = append(f.others, vm.ID)
-		f.centres[vm.ID] = vm.DataCentre
+		f.dataCentreOf[vm.ID] = vm.DataCentre
 		if vm.State == baobabstep.VMLeaving {
-			// It still answers, and has no roles any more: a reader that
-			// stops would delay the changes of its last moments.
+			// A leaving VM still answers but has no role: as a reader it
+			// would delay the changes made while it stops.
 			continue
 		}
 		byCentre[vm.DataCentre] = append(byCentre[vm.DataCentre], vm.ID)
 		if vm.DataCentre == self.DataCentre {
-			f.near = append(f.near, vm.ID)
+			f.localVMs = append(f.localVMs, vm.ID)
 		} else {
-			f.far = append(f.far, vm.ID)
+			f.remoteVMs = append(f.remoteVMs, vm.ID)
 		}
 	}
 	for centre, vms := range byCentre {
-		f.sizes[centre] = len(vms)
-		ordered := rank(vms, readerSalt)
+		f.vmCounts[centre] = len(vms)
+		ordered := rendezvousOrder(vms, readerSalt)
 		if centre == self.DataCentre {
-			f.order = ordered
+			f.readerOrder = ordered
 		}
 		f.readers[centre] = ordered[:min(readers, len(ordered))]
 	}
 	return f
 }
 
-// readerSalt separates the choice of readers from the order of the trees.
+// readerSalt makes the choice of readers independent of the order in the trees.
 const readerSalt = ^uint64(0)
 
-// rank orders VMs by rendezvous over salt: all VMs with the same view get the
-// same order, and a VM that comes or goes moves no other.
-func rank(vms []baobabstep.VMID, salt uint64) []baobabstep.VMID {
+// rendezvousOrder orders VMs by rendezvous hashing with salt. All VMs with the
+// same view compute the same order, and adding or removing a VM does not reorder
+// the others.
+func rendezvousOrder(vms []baobabstep.VMID, salt uint64) []baobabstep.VMID {
 	out := slices.Clone(vms)
 	weight := make(map[baobabstep.VMID]uint64, len(out))
 	for _, id := range out {
-		weight[id] = mix(uint64(id), salt)
+		weight[id] = hash64(uint64(id), salt)
 	}
 	slices.SortFunc(out, func(a, b baobabstep.VMID) int {
 		return cmp.Or(cmp.Compare(weight[b], weight[a]), cmp.Compare(a, b))
@@ -101,35 +102,35 @@
 	return out
 }
 
-func mix(a, b uint64) uint64 {
+func hash64(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a)
 	binary.LittleEndian.PutUint64(buf[8:], b)
 	return xxhash.Sum64(buf[:])
 }
 
-// above returns the VMs of the data centre that would read before self does, or
-// false if self is too far down to stand in.
-func (f *fleet) above() ([]baobabstep.VMID, bool) {
-	at := slices.Index(f.order, f.self.ID)
-	return f.order[:at], at < maxStandIns
+// precedingReaders returns the VMs of the data centre that rank above self, and
+// whether self ranks high enough to be a reader or backup reader.
+func (f *fleet) precedingReaders() ([]baobabstep.VMID, bool) {
+	position := slices.Index(f.readerOrder, f.self.ID)
+	return f.readerOrder[:position], position < maxReaderCandidates
 }
 
-// children returns the VMs that this VM offers a version to: its children in
-// each tree of its data centre, the readers there, to whom all report, and, if
-// it reads the platform itself, the roots and one reader of each other data
-// centre.
-func (f *fleet) children(version uint64, reader bool) []baobabstep.VMID {
+// announceTo returns the VMs to which this VM announces a version: its children in
+// each tree of its data centre, the readers there, which track the versions of
+// all VMs, and, if it is a reader itself, the roots of the trees and one reader
+// of each other data centre.
+func (f *fleet) announceTo(version uint64, reader bool) []baobabstep.VMID {
 	var out []baobabstep.VMID
 	add := func(id baobabstep.VMID) {
 		if id != f.self.ID && !slices.Contains(out, id) {
 			out = append(out, id)
 		}
 	}
-	for tree := range uint64(trees) {
-		order := rank(f.near, version*trees+tree)
-		at := slices.Index(order, f.self.ID)
-		for i := fanout*at + 1; i <= fanout*at+fanout && i < len(order); i++ {
+	for tree := range uint64(treeCount) {
+		order := rendezvousOrder(f.localVMs, version*treeCount+tree)
+		position := slices.Index(order, f.self.ID)
+		for i := treeFanout*position + 1; i <= treeFanout*position+treeFanout && i < len(order); i++ {
 			add(order[i])
 		}
 		if reader {
--- a/core/config/fuzz_test.go
+++ b/core/config/fuzz_test.go
@@ -10,14 +10,14 @@
 	"baobabstep/core/config"
 )
 
-// FuzzHandle gives a replica any bytes in a peer's name: it must neither panic
-// nor put into force what was never accepted.
+// FuzzHandle passes arbitrary bytes to a replica as a peer's message. The replica
+// must neither panic nor adopt a version that was never accepted.
 func FuzzHandle(f *testing.F) {
 	c := qt.New(f)
 	s := newStore()
 	mustAccept(c, s, firstChange(3, 2))
 	fl := newFleet(1, 3, s)
-	fl.tap = func(body []byte) {
+	fl.onMessage = func(body []byte) {
 		if len(body) < 4096 {
 			f.Add(body)
 		}
@@ -40,7 +40,7 @@
 	})
 }
 
-// FuzzAccount decodes and renders any text as an account.
+// FuzzAccount decodes and renders arbitrary text as an account.
 func FuzzAccount(f *testing.F) {
 	f.Add(config.Encode(testAccount(1, 3)))
 	f.Add([]byte(`{"format":1,"name":"a","doc":"","services":[{"name":"s","template":"plain","values":{"targets":[{"name":"t"}],"address":"[::1]:1"}}]}`))
--- a/core/config/garbage.go
+++ b/core/config/garbage.go
@@ -6,16 +6,16 @@
 	"baobabstep"
 )
 
-// Garbage returns the objects that the version named by head does not use, of
-// those listed from the platform. CodeIncomplete says that the list lacks an
-// object in use; then nothing may be removed.
+// Garbage returns the listed objects that the version of head does not use. It
+// returns CodeIncomplete if the list lacks an object in use; then nothing may be
+// removed.
 //
-// An accept under way may be about to use one of them. So the collector, after
-// listing, writes the head with a greater Collections, which makes every accept
-// that began earlier start again; and it removes each object only at the
-// revision that was listed. An accept that finds an object present writes it
-// anew, which changes its revision. However long the collector is paused in
-// between, it can then remove only what no accept has touched since.
+// A concurrent accept may be about to use one of the objects. The collector
+// therefore lists the objects, then writes the head with an incremented
+// Collections, which restarts every accept that began earlier, and removes each
+// object only at its listed revision. An accept that finds an object present
+// rewrites it, which changes its revision. So the collector removes only objects
+// that no accept has used since the listing, however long it was paused.
 func Garbage(head *Head, listed []baobabstep.KeyValue) ([]baobabstep.KeyValue, error) {
 	objects := make(map[Digest][]byte, len(listed))
 	for _, kv := range listed {
--- a/core/config/main_test.go
+++ b/core/config/main_test.go
@@ -28,13 +28,13 @@
 
 var testStart = time.Date(2026, 3, 7, 6, 0, 0, 0, time.UTC)
 
-// store is a map in the platform's place. Faults are set per call by hooks.
+// store is an in-memory platform. Hooks inject faults per call.
 type store struct {
 	revision uint64
 	keys     map[string]baobabstep.KeyValue
 	down     bool
-	// onPut may replace the outcome of a write: it gets the write and says
-	// whether it takes effect and with which code it is answered.
+	// onPut, if set, decides whether a write takes effect and with which code
+	// it is answered.
 	onPut func(key string) (takesEffect bool, code baobabstep.Code)
 	puts  int
 	gets  int
@@ -82,7 +82,7 @@
 	return s.revision, codeError(code)
 }
 
-// accept carries a change through the store.
+// accept runs the accept of a change against the store.
 func (s *store) accept(now time.Time, c config.Change, o config.AcceptOptions) config.Result {
 	return s.run(now, config.NewAccept(c, o))
 }
@@ -104,7 +104,7 @@
 	return a.Next(now, answer)
 }
 
-// snapshot reads what a reader of the platform would hand to the replica.
+// snapshot reads from the store what a reader would pass to the replica.
 func (s *store) snapshot(r *config.Replica) (config.Snapshot, bool) {
 	kv, err := s.get(config.HeadKey)
 	if err != nil {
@@ -144,8 +144,8 @@
 	}
 }
 
-// testAccount is an account with one service and the given targets; number
-// keeps its names and addresses apart from those of other accounts.
+// testAccount returns an account with one service; number makes its names and
+// addresses unique.
 func testAccount(number, targets int) *config.Account {
 	list := make([]config.TargetValue, targets)
 	for i := range list {
@@ -167,7 +167,7 @@
 
 func accountName(number int) string { return fmt.Sprintf("account-%d", number) }
 
-// firstChange sets up a template and accounts.
+// firstChange returns the change that creates the template and the accounts.
 func firstChange(accounts, targets int) config.Change {
 	c := config.Change{ID: "first", Operator: "ana", Reason: "set up", Action: "config import"}
 	c.Edits = append(c.Edits, config.Edit{Kind: config.ObjectTemplate, Name: "plain", Document: config.Encode(testTemplate())})
@@ -177,7 +177,7 @@
 	return c
 }
 
-// queueChange sets the queue limit of an account.
+// queueChange returns a change of the queue limit of an account.
 func queueChange(id string, number, targets, from, to int) config.Change {
 	return config.Change{ID: id, Operator: "ana", Reason: "tune", Action: "account accept", Edits: []config.Edit{{
 		Kind: config.ObjectAccount, Name: accountName(number),
@@ -200,27 +200,27 @@
 	return res
 }
 
-// fleet is a set of replicas on one virtual clock, joined by a network that
-// delays, loses, doubles and reorders.
+// fleet is a set of replicas on a virtual clock, connected by a network that
+// delays, loses, duplicates and reorders messages.
 type fleet struct {
-	now      time.Time
-	vms      []baobabstep.VM
-	replicas map[baobabstep.VMID]*config.Replica
-	queue    queue
-	rand     *rand.Rand
-	store    *store
-	lossy    float64
-	// corrupt is the share of messages of which one byte is changed.
+	now       time.Time
+	vms       []baobabstep.VM
+	replicas  map[baobabstep.VMID]*config.Replica
+	queue     queue
+	rand      *rand.Rand
+	store     *store
+	lossShare float64
+	// corrupt is the share of messages with one changed byte.
 	corrupt float64
-	// rate and burst replace the standard budget of VMs started from now on.
+	// rate and burst replace the default send budget of VMs started from now on.
 	rate, burst int
-	// tap sees each message.
-	tap func(body []byte)
-	// cut says whether two VMs cannot reach each other, or, with to 0, a VM
-	// cannot reach the platform.
+	// onMessage, if set, is called with each message sent.
+	onMessage func(body []byte)
+	// cut reports whether two VMs cannot reach each other or, if to is 0,
+	// whether a VM cannot reach the platform.
 	cut      func(from, to baobabstep.VMID) bool
 	versions map[baobabstep.VMID]uint64
-	// handled is the revision of the store that a reader has dealt with.
+	// handled is the store's revision that a reader last read.
 	handled  map[baobabstep.VMID]uint64
 	reverted int
 	violated []string
@@ -234,7 +234,7 @@
 	body     []byte
 }
 
-// queue holds the messages under way, the next one first.
+// queue is a heap of the messages in flight, the earliest delivery first.
 type queue []delivery
 
 func (q queue) Len() int           { return len(q) }
@@ -251,7 +251,7 @@
 // tick is the step of the virtual clock.
 const tick = 100 * time.Millisecond
 
-// newFleet makes perCentre VMs in each of the data centres a, b, ...
+// newFleet starts perCentre VMs in each of the data centres a, b, ...
 func newFleet(centres, perCentre int, s *store) *fleet {
 	f := &fleet{
 		now: testStart, replicas: map[baobabstep.VMID]*config.Replica{}, rand: rand.New(rand.NewPCG(1, 2)), store: s,
@@ -269,7 +269,7 @@
 	return f
 }
 
-// start replaces a VM by one that knows nothing.
+// start replaces a VM by one without a configuration.
 func (f *fleet) start(id baobabstep.VMID) {
 	for _, vm := range f.vms {
 		if vm.ID != id {
@@ -291,10 +291,10 @@
 	for _, o := range outs {
 		f.sent[from] += len(o.Body)
 		f.messages++
-		if f.tap != nil {
-			f.tap(o.Body)
+		if f.onMessage != nil {
+			f.onMessage(o.Body)
 		}
-		if f.isCut(from, o.To) || f.rand.Float64() < f.lossy {
+		if f.isCut(from, o.To) || f.rand.Float64() < f.lossShare {
 			continue
 		}
 		if f.rand.Float64() < f.corrupt {
@@ -302,14 +302,14 @@
 			o.Body[f.rand.IntN(len(o.Body))] ^= byte(1 + f.rand.IntN(255))
 		}
 		delay := time.Duration(1+f.rand.IntN(3)) * time.Millisecond
-		if f.rand.Float64() < f.lossy {
+		if f.rand.Float64() < f.lossShare {
 			heap.Push(&f.queue, delivery{f.now.Add(delay + 300*time.Millisecond), from, o.To, o.Body})
 		}
 		heap.Push(&f.queue, delivery{f.now.Add(delay), from, o.To, o.Body})
 	}
 }
 
-// step lets one tick pass.
+// step advances the clock by one tick.
 func (f *fleet) step() {
 	end := f.now.Add(tick)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
@@ -328,13 +328,14 @@
 			continue
 		}
 		f.send(vm.ID, r.Tick(f.now))
-		f.read(vm.ID, r)
-		f.watch(vm.ID, r)
+		f.pollPlatform(vm.ID, r)
+		f.checkVersion(vm.ID, r)
 	}
 }
 
-// read does what a reader's waiting watch does.
-func (f *fleet) read(id baobabstep.VMID, r *config.Replica) {
+// pollPlatform passes the store's version to a reader, as its watch of the
+// platform does.
+func (f *fleet) pollPlatform(id baobabstep.VMID, r *config.Replica) {
 	if f.store.down || f.isCut(id, 0) || !r.Reader(f.now) {
 		return
 	}
@@ -348,8 +349,8 @@
 	}
 }
 
-// watch checks that versions only grow.
-func (f *fleet) watch(id baobabstep.VMID, r *config.Replica) {
+// checkVersion counts a VM whose version decreased.
+func (f *fleet) checkVersion(id baobabstep.VMID, r *config.Replica) {
 	c := r.Current()
 	if c == nil {
 		return
@@ -360,20 +361,20 @@
 	f.versions[id] = c.Version
 }
 
-// run lets time pass until all VMs have the version, at most for d, and
-// returns how long it took.
+// run advances the clock until all VMs have the version, at most by d, and returns
+// how long it took.
 func (f *fleet) run(d time.Duration, version uint64) (time.Duration, bool) {
 	start := f.now
 	for f.now.Sub(start) < d {
-		if f.all(version) {
+		if f.allHave(version) {
 			return f.now.Sub(start), true
 		}
 		f.step()
 	}
-	return f.now.Sub(start), f.all(version)
+	return f.now.Sub(start), f.allHave(version)
 }
 
-func (f *fleet) all(version uint64) bool {
+func (f *fleet) allHave(version uint64) bool {
 	for _, r := range f.replicas {
 		if c := r.Current(); c == nil || c.Version < version {
 			return false
@@ -382,13 +383,13 @@
 	return true
 }
 
-func (f *fleet) wait(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step()
 	}
 }
 
-func assertSound(c *qt.C, f *fleet) {
+func assertNoReverts(c *qt.C, f *fleet) {
 	c.Helper()
 	c.Assert(f.violated, qt.HasLen, 0)
 	c.Assert(f.reverted, qt.Equals, 0)
@@ -398,6 +399,6 @@
 	c.Helper()
 	took, ok := f.run(within, version)
 	c.Assert(ok, qt.IsTrue, qt.Commentf("version %d not in force everywhere within %v: %v", version, within, f.versions))
-	assertSound(c, f)
+	assertNoReverts(c, f)
 	return took
 }
--- a/core/config/message.go
+++ b/core/config/message.go
@@ -13,25 +13,26 @@
 // message is what replicas send each other.
 type message struct {
 	Kind messageKind `cbor:"kind"`
-	// Version and Manifest are those in force at the sender, or those that
-	// an answer belongs to.
+	// Version and Manifest are those in force at the sender; in a
+	// messageRequest, those that the sender wants to fetch.
 	Version  uint64 `cbor:"version"`
 	Manifest Digest `cbor:"manifest"`
-	// PlatformAgeMS is the time since the platform last answered any VM that
-	// the sender heard of, in milliseconds plus one; 0 is never.
+	// PlatformAgeMS is the time since the platform last answered a VM, as far
+	// as the sender knows, in milliseconds plus one; 0 means never.
 	PlatformAgeMS uint64 `cbor:"platform_age_ms,omitempty"`
-	// Answer asks the receiver of a messageHave for one in return.
+	// Answer asks the receiver of a messageAnnounce for one in return.
 	Answer    bool      `cbor:"answer,omitempty"`
 	Summaries []Summary `cbor:"summaries,omitempty"`
-	// Want lists the pieces asked for. From is the version in force at the
-	// one who asks: the sender adds what it knows to have changed since.
+	// Want lists the requested pieces. From is the version in force at the
+	// requester: the answer may include objects that changed since.
 	Want []piece `cbor:"want,omitempty"`
 	From uint64  `cbor:"from,omitempty"`
-	// Whole lists objects asked for from their first byte and without a
-	// base, which takes half the bytes of Want. A VM that starts asks for
+	// Whole lists objects requested from their first byte and without a
+	// base, which takes half the bytes of Want. A VM that starts requests
 	// thousands.
 	Whole []Digest `cbor:"whole,omitempty"`
-	// Pieces lists what Data holds, and Bases what its dictionary is made of.
+	// Pieces lists the contents of Data, which is compressed with a dictionary
+	// made of Bases.
 	Pieces []piece `cbor:"pieces,omitempty"`
 	Bases  []piece `cbor:"bases,omitempty"`
 	Data   []byte  `cbor:"data,omitempty"`
@@ -40,38 +41,38 @@
 type messageKind uint8
 
 const (
-	// messageHave says which version is in force at the sender.
-	messageHave messageKind = iota + 1
-	// messageWant asks for pieces of objects.
-	messageWant
+	// messageAnnounce announces the version in force at the sender.
+	messageAnnounce messageKind = iota + 1
+	// messageRequest requests pieces of objects.
+	messageRequest
 	// messagePieces carries pieces.
 	messagePieces
 )
 
-// piece is a range of an object. In an answer, one with a length alone is a
-// whole object: its name is the digest of its bytes.
+// piece is a range of bytes of an object. In an answer, a piece with only Length
+// set is a whole object, whose digest the receiver computes.
 type piece struct {
 	Digest Digest `cbor:"digest,omitzero"`
 	Offset int    `cbor:"offset,omitempty"`
 	Length int    `cbor:"length,omitempty"`
-	// Total is the size of the object, where the sender knows it.
+	// Total is the size of the object in bytes, if the sender knows it.
 	Total int `cbor:"total,omitempty"`
-	// Base is, in a want, the object that stood in this one's place.
+	// Base is, in a request, the object that this one replaces.
 	Base Digest `cbor:"base,omitzero"`
 }
 
 // Limits of one message.
 const (
-	// maxPieceBytes bounds the bytes of objects in one message, before
-	// compression, and so what a receiver ever unpacks. With the margins it
-	// stays within the 32 kB that the compression can refer back to.
+	// maxPieceBytes limits the object bytes in one message before compression,
+	// and so what a receiver decompresses. With the margins it stays within the
+	// 32 kB window of flate.
 	maxPieceBytes = 28 << 10
-	// maxWants bounds the pieces asked for, or sent, in one message.
-	maxWants = 96
-	// maxBody bounds an encoded message.
-	maxBody = 64 << 10
-	// dictionaryMargin is how far before its place the base of a piece is
-	// used, since an edit moves what follows it.
+	// maxPiecesPerMessage limits the pieces requested or sent in one message.
+	maxPiecesPerMessage = 96
+	// maxMessageBytes is the maximum size of an encoded message.
+	maxMessageBytes = 64 << 10
+	// dictionaryMargin is how many bytes of the base before and after a piece
+	// are added to the dictionary, since an edit shifts what follows it.
 	dictionaryMargin = 2 << 10
 )
 
@@ -94,21 +95,21 @@
 }
 
 func decodeMessage(body []byte) (*message, error) {
-	if len(body) > maxBody {
-		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "config.decode_message", "got %d bytes, want at most %d", len(body), maxBody)
+	if len(body) > maxMessageBytes {
+		return nil, baobabstep.Errorf(baobabstep.CodeTooLarge, "config.decode_message", "got %d bytes, want at most %d", len(body), maxMessageBytes)
 	}
 	var m message
 	if err := decodeMode.Unmarshal(body, &m); err != nil {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "config.decode_message", "%w", err)
 	}
-	if m.Kind < messageHave || m.Kind > messagePieces || len(m.Want)+len(m.Whole) > maxWants || len(m.Pieces) > maxWants || len(m.Bases) > maxWants {
+	if m.Kind < messageAnnounce || m.Kind > messagePieces || len(m.Want)+len(m.Whole) > maxPiecesPerMessage || len(m.Pieces) > maxPiecesPerMessage || len(m.Bases) > maxPiecesPerMessage {
 		return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "config.decode_message", "got kind %d with %d wants and %d pieces, want known kinds within the limits", m.Kind, len(m.Want)+len(m.Whole), len(m.Pieces))
 	}
 	total := 0
 	for _, p := range m.Pieces {
 		whole := p.Digest.IsZero() && p.Offset == 0 && p.Total == 0
 		if p.Offset < 0 || p.Length < 0 || p.Total < 0 || p.Total > MaxDocument || !whole && p.Offset+p.Length > p.Total {
-			return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "config.decode_message", "got a piece of %d bytes at %d of %d", p.Length, p.Offset, p.Total)
+			return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "config.decode_message", "got a piece of %d bytes at offset %d of an object of %d bytes", p.Length, p.Offset, p.Total)
 		}
 		total += p.Length
 	}
@@ -118,8 +119,8 @@
 	return &m, nil
 }
 
-// dictionary joins the base ranges that a message refers to, or reports that
-// one of them is not here. Both ends must make the same one.
+// dictionary concatenates the base ranges of a message, or returns false if one
+// is not available. Sender and receiver must build the same dictionary.
 func dictionary(bases []piece, objects Objects) ([]byte, bool) {
 	var out []byte
 	for _, p := range bases {
@@ -132,7 +133,8 @@
 	return out, true
 }
 
-// baseRange returns the part of base that most likely resembles a piece.
+// baseRange returns the range of base that most likely resembles p, or false if
+// there is none.
 func baseRange(base Digest, p piece, objects Objects) (piece, bool) {
 	b, ok := objects(base)
 	if !ok || base.IsZero() || len(b) == 0 {
@@ -160,7 +162,8 @@
 	return out.Bytes()
 }
 
-// unpack reverses pack; it never yields more than size bytes.
+// unpack decompresses what pack returned. It returns CodeMalformed unless the
+// result has exactly size bytes.
 func unpack(packed, dict []byte, size int) ([]byte, error) {
 	r := flate.NewReaderDict(bytes.NewReader(packed), dict)
 	out, err := io.ReadAll(io.LimitReader(r, int64(size)+1))
--- a/core/config/prepare.go
+++ b/core/config/prepare.go
@@ -10,7 +10,7 @@
 	"baobabstep"
 )
 
-// prepare makes the objects and the head of the next version.
+// prepare computes and checks the objects and the head of the next version.
 func (a *Accept) prepare(now time.Time) Step {
 	refs, err := a.applyEdits()
 	if err != nil {
@@ -23,39 +23,40 @@
 	if err := a.checkTemplates(after); err != nil {
 		return a.fail(err)
 	}
-	a.result.Dangers = dangers(a.beforeConfig(), after.Config)
-	open := unconfirmed(a.result.Dangers, a.change.Confirm)
+	a.result.Dangers = findDangers(a.baseConfig(), after.Config)
+	remaining := unconfirmed(a.result.Dangers, a.change.Confirm)
 	switch {
 	case len(a.result.Difference) == 0:
 		return a.fail(baobabstep.Errorf(baobabstep.CodeInvalid, "config.accept", "got a change that changes nothing, want at least one difference"))
 	case a.change.DryRun:
 		a.state = stateDone
 		return Step{}
-	case len(open) > 0:
-		return a.fail(baobabstep.Errorf(baobabstep.CodeDangerous, "config.accept", "confirm by name: %s", dangerText(open)))
+	case len(remaining) > 0:
+		return a.fail(baobabstep.Errorf(baobabstep.CodeDangerous, "config.accept", "confirm by name: %s", dangerText(remaining)))
 	}
 	return a.writeNext()
 }
 
-func (a *Accept) beforeConfig() *baobabstep.Config {
-	if a.before == nil {
+func (a *Accept) baseConfig() *baobabstep.Config {
+	if a.baseSet == nil {
 		return nil
 	}
-	return a.before.Config
+	return a.baseSet.Config
 }
 
-// applyEdits returns the references of the next version and collects the
-// difference. An edit whose base is no longer the current document conflicts.
+// applyEdits returns the references of the next version and records the
+// difference. An edit conflicts if its base is no longer the current document and
+// it is not merged.
 func (a *Accept) applyEdits() (map[refKey]Ref, error) {
 	refs := map[refKey]Ref{}
-	if a.before != nil {
-		for k, r := range a.before.refs {
+	if a.baseSet != nil {
+		for k, r := range a.baseSet.refs {
 			refs[k] = r
 		}
 	}
 	a.objects = map[Digest][]byte{}
 	a.result.Difference, a.result.Theirs, a.result.Collisions = nil, nil, nil
-	a.noteLifted()
+	a.recordLifted()
 	conflicts := 0
 	for i := range a.change.Edits {
 		e := &a.change.Edits[i]
@@ -67,7 +68,7 @@
 			conflicts++
 			continue
 		}
-		a.place(e, document, refs)
+		a.updateRef(e, document, refs)
 	}
 	if conflicts > 0 {
 		return nil, baobabstep.Errorf(baobabstep.CodeConflict, "config.accept", "another operator changed %d of %d documents first: %s", conflicts, len(a.change.Edits), a.conflictText())
@@ -75,12 +76,12 @@
 	return refs, nil
 }
 
-// noteLifted adds the addresses that leave quarantine to the difference.
-func (a *Accept) noteLifted() {
-	if a.before == nil {
+// recordLifted adds the addresses that leave quarantine to the result's difference.
+func (a *Accept) recordLifted() {
+	if a.baseSet == nil {
 		return
 	}
-	for _, q := range a.before.quarantine {
+	for _, q := range a.baseSet.quarantine {
 		if q.Until <= a.change.Lift {
 			a.result.Difference = append(a.result.Difference, fmt.Sprintf("- quarantine.%s: since version %d", q.Address, q.Until))
 		}
@@ -92,10 +93,10 @@
 	for _, c := range a.result.Theirs {
 		text += c.String() + "; "
 	}
-	return shorten(text)
+	return truncate(text)
 }
 
-// applyEdit returns the document that an edit leads to, nil for removal.
+// applyEdit returns the document that results from an edit, nil for a removal.
 func (a *Accept) applyEdit(e *Edit) (document []byte, conflict bool, err error) {
 	current := a.currentDocument(refKey{e.Kind, e.Name})
 	if len(e.Document) > 0 {
@@ -128,24 +129,24 @@
 	return document, false, nil
 }
 
-// currentDocument returns the document before the change, nil for none. It is
-// encoded anew, since the builder may know a document whose bytes are not at
-// hand any more; documents have one form only.
+// currentDocument returns the document before the change, nil for none. It
+// encodes the decoded document, because the original bytes may no longer be
+// available; the encoding is canonical.
 func (a *Accept) currentDocument(k refKey) []byte {
-	if a.before == nil {
+	if a.baseSet == nil {
 		return nil
 	}
-	if t := a.before.templates[k.name]; k.kind == ObjectTemplate && t != nil {
+	if t := a.baseSet.templates[k.name]; k.kind == ObjectTemplate && t != nil {
 		return Encode(t)
 	}
-	if one := a.before.accounts[k.name]; k.kind == ObjectAccount && one != nil {
+	if one := a.baseSet.accounts[k.name]; k.kind == ObjectAccount && one != nil {
 		return Encode(one)
 	}
 	return nil
 }
 
-// merge notes what others changed since base, and returns the merged document
-// if the operator asked for it and no field was changed by both.
+// merge records what others changed since base. It returns the merged document, or
+// nil on collisions or if the change does not ask for a merge.
 func (a *Accept) merge(base, document, current []byte) ([]byte, error) {
 	theirs, err := Diff(base, current)
 	if err != nil {
@@ -163,7 +164,7 @@
 	return merged, nil
 }
 
-func (a *Accept) place(e *Edit, document []byte, refs map[refKey]Ref) {
+func (a *Accept) updateRef(e *Edit, document []byte, refs map[refKey]Ref) {
 	key := refKey{e.Kind, e.Name}
 	if document == nil {
 		delete(refs, key)
@@ -177,28 +178,29 @@
 	refs[key] = Ref{Kind: e.Kind, Name: e.Name, Digest: d, Version: a.head.Version + 1}
 }
 
-// assemble makes pages, quarantine, manifest and head, and renders the whole.
+// assemble makes pages, quarantine, manifest and head, and returns the rendered
+// version.
 func (a *Accept) assemble(now time.Time, refs map[refKey]Ref) (*Set, error) {
 	m := Manifest{Format: Format, Version: a.head.Version + 1, FlowSecret: a.o.FlowSecret[:]}
 	var items []QuarantineItem
-	if a.before != nil {
-		m.FlowSecret = a.before.Manifest.FlowSecret
-		m.Previous = a.before.Digest
-		items = a.before.quarantine
+	if a.baseSet != nil {
+		m.FlowSecret = a.baseSet.Manifest.FlowSecret
+		m.Previous = a.baseSet.Digest
+		items = a.baseSet.quarantine
 	}
 	m.Pages = pageRefs(refs, a.objects)
-	m.Entry = a.entry(now)
-	// The quarantine follows from the rendered version, so render first.
-	draft, err := a.tryBuild(&m)
+	m.Entry = a.auditEntry(now)
+	// The quarantine is computed from the rendered version, so render first.
+	draft, err := a.buildCandidate(&m)
 	if err != nil {
 		return nil, err
 	}
-	if items = nextQuarantine(now, items, a.change.Lift, a.beforeConfig(), draft.Config); len(items) > 0 {
+	if items = nextQuarantine(now, items, a.change.Lift, a.baseConfig(), draft.Config); len(items) > 0 {
 		b := Encode(items)
 		m.Quarantine = MakeDigest(b)
 		a.objects[m.Quarantine] = b
 		delete(a.objects, draft.Digest)
-		if draft, err = a.tryBuild(&m); err != nil {
+		if draft, err = a.buildCandidate(&m); err != nil {
 			return nil, err
 		}
 	}
@@ -209,26 +211,26 @@
 	return draft, nil
 }
 
-func (a *Accept) tryBuild(m *Manifest) (*Set, error) {
+func (a *Accept) buildCandidate(m *Manifest) (*Set, error) {
 	b := Encode(m)
 	d := MakeDigest(b)
 	a.objects[d] = b
-	s, missing, err := a.builder.Build(d, a.lookup, a.before)
+	s, missing, err := a.builder.Build(d, a.lookup, a.baseSet)
 	if err != nil {
 		return nil, err
 	}
 	if len(missing) > 0 {
-		return nil, baobabstep.Errorf(baobabstep.CodeInternal, "config.accept", "got %d objects missing of a version just made", len(missing))
+		return nil, baobabstep.Errorf(baobabstep.CodeInternal, "config.accept", "%d objects of the new version are missing", len(missing))
 	}
 	return s, nil
 }
 
-// entry makes the audit entry of the change. Its sequence number is the
-// version, since each change makes one version and one entry.
-func (a *Accept) entry(now time.Time) baobabstep.AuditEntry {
+// auditEntry makes the audit entry of the change. Its sequence number is the
+// version, since each change creates one version and one entry.
+func (a *Accept) auditEntry(now time.Time) baobabstep.AuditEntry {
 	e := baobabstep.AuditEntry{
 		Sequence: a.head.Version + 1, At: now.UTC(), Operator: a.change.Operator, Action: a.change.Action,
-		Subject: a.subject(), Reason: a.change.Reason, ChangeID: a.change.ID,
+		Subject: a.auditSubject(), Reason: a.change.Reason, ChangeID: a.change.ID,
 		BaseVersion: a.head.Version, NewVersion: a.head.Version + 1,
 		Difference: a.result.Difference,
 	}
@@ -241,8 +243,8 @@
 			e.Difference[i] = line[:maxDifferenceLine] + "..."
 		}
 	}
-	if a.before != nil {
-		e.PreviousHash = a.before.Manifest.Entry.Hash
+	if a.baseSet != nil {
+		e.PreviousHash = a.baseSet.Manifest.Entry.Hash
 	}
 	e.Hash = EntryHash(e)
 	return e
@@ -250,7 +252,7 @@
 
 const maxSubjects = 4
 
-func (a *Accept) subject() string {
+func (a *Accept) auditSubject() string {
 	if a.change.Lift > 0 {
 		return "quarantine"
 	}
@@ -267,12 +269,12 @@
 	return text
 }
 
-// orderWrites puts the manifest last, so that one that can be read has all its
-// parts.
+// orderWrites lists the objects to write with the manifest last, so that every
+// object of a readable manifest is readable too.
 func (a *Accept) orderWrites(manifest Digest) {
 	a.writes = a.writes[:0]
 	for d := range a.objects {
-		if d != manifest && !a.inBefore(d) {
+		if d != manifest && !a.inBaseSet(d) {
 			a.writes = append(a.writes, d)
 		}
 	}
@@ -280,27 +282,27 @@
 	a.writes = append(a.writes, manifest)
 }
 
-// inBefore says whether the current version has the object, as most pages.
-func (a *Accept) inBefore(d Digest) bool {
-	if a.before == nil {
+// inBaseSet reports whether baseSet has d as a page or quarantine object.
+func (a *Accept) inBaseSet(d Digest) bool {
+	if a.baseSet == nil {
 		return false
 	}
-	for _, p := range a.before.pages {
+	for _, p := range a.baseSet.pages {
 		if p == d {
 			return true
 		}
 	}
-	return d == a.before.Manifest.Quarantine
+	return d == a.baseSet.Manifest.Quarantine
 }
 
-// checkTemplates applies the rule for changes under live accounts.
+// checkTemplates applies [CheckTemplateChange] to each edited template.
 func (a *Accept) checkTemplates(after *Set) error {
 	for i := range a.change.Edits {
 		e := &a.change.Edits[i]
-		if e.Kind != ObjectTemplate || a.before == nil {
+		if e.Kind != ObjectTemplate || a.baseSet == nil {
 			continue
 		}
-		old, changed := a.before.Template(e.Name), after.Template(e.Name)
+		old, changed := a.baseSet.Template(e.Name), after.Template(e.Name)
 		if old == nil || changed == nil {
 			continue
 		}
--- a/core/config/rapid_test.go
+++ b/core/config/rapid_test.go
@@ -11,18 +11,18 @@
 	"baobabstep/core/config"
 )
 
-// machine is a fleet and its operators under random events. Its invariants:
-// versions in force only grow, each one in force is one that was accepted,
-// whole, and once faults end all VMs agree.
-type machine struct {
-	f        *fleet
-	s        *store
-	accepted map[config.Digest]uint64
-	queues   []int
-	changes  int
+// fleetModel runs a fleet and its operators under random faults. Invariants: the
+// version in force on a VM never decreases and is one that was accepted, and all
+// VMs converge once the faults end.
+type fleetModel struct {
+	f           *fleet
+	s           *store
+	accepted    map[config.Digest]uint64
+	queueLimits []int
+	changes     int
 }
 
-func (m *machine) check(t *rapid.T) {
+func (m *fleetModel) check(t *rapid.T) {
 	if m.f.reverted > 0 || len(m.f.violated) > 0 {
 		t.Fatalf("reverted %d, violated %v", m.f.reverted, m.f.violated)
 	}
@@ -37,9 +37,9 @@
 	}
 }
 
-// accept tunes one account; the platform may lose the answer of any write.
-func (m *machine) accept(t *rapid.T) {
-	number := rapid.IntRange(0, len(m.queues)-1).Draw(t, "account")
+// accept changes one account; the platform may lose the answer to any write.
+func (m *fleetModel) accept(t *rapid.T) {
+	number := rapid.IntRange(0, len(m.queueLimits)-1).Draw(t, "account")
 	lose := rapid.IntRange(0, 8).Draw(t, "lose")
 	n := 0
 	m.s.onPut = func(string) (bool, baobabstep.Code) {
@@ -50,8 +50,8 @@
 		return true, baobabstep.CodeOK
 	}
 	m.changes++
-	to := (m.queues[number] + 1) % 100
-	res := m.s.accept(m.f.now, queueChange(fmt.Sprint(m.changes), number, 2, m.queues[number], to), config.AcceptOptions{})
+	to := (m.queueLimits[number] + 1) % 100
+	res := m.s.accept(m.f.now, queueChange(fmt.Sprint(m.changes), number, 2, m.queueLimits[number], to), config.AcceptOptions{})
 	m.s.onPut = nil
 	if m.s.down {
 		if res.Err == nil {
@@ -62,11 +62,11 @@
 	if res.Err != nil {
 		t.Fatalf("got %v, want success", res.Err)
 	}
-	m.queues[number] = to
-	m.note(t)
+	m.queueLimits[number] = to
+	m.recordHead(t)
 }
 
-func (m *machine) note(t *rapid.T) {
+func (m *fleetModel) recordHead(t *rapid.T) {
 	head, err := config.DecodeHead(m.s.keys[config.HeadKey].Value)
 	if err != nil {
 		t.Fatal(err)
@@ -76,20 +76,20 @@
 
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{s: newStore(), accepted: map[config.Digest]uint64{}, queues: []int{-1, -1, -1, -1, -1}}
-		if res := m.s.accept(testStart, firstChange(len(m.queues), 2), config.AcceptOptions{}); res.Err != nil {
+		m := &fleetModel{s: newStore(), accepted: map[config.Digest]uint64{}, queueLimits: []int{-1, -1, -1, -1, -1}}
+		if res := m.s.accept(testStart, firstChange(len(m.queueLimits), 2), config.AcceptOptions{}); res.Err != nil {
 			t.Fatal(res.Err)
 		}
-		m.note(t)
+		m.recordHead(t)
 		m.f = newFleet(rapid.IntRange(1, 3).Draw(t, "centres"), rapid.IntRange(1, 4).Draw(t, "vms"), m.s)
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.check,
 			"wait": func(t *rapid.T) {
-				m.f.wait(time.Duration(rapid.IntRange(1, 20).Draw(t, "ticks")) * tick)
+				m.f.advance(time.Duration(rapid.IntRange(1, 20).Draw(t, "ticks")) * tick)
 			},
 			"accept":   m.accept,
 			"platform": func(*rapid.T) { m.s.down = !m.s.down },
-			"lossy":    func(t *rapid.T) { m.f.lossy = rapid.SampledFrom([]float64{0, 0.2, 0.6}).Draw(t, "lossy") },
+			"lossy":    func(t *rapid.T) { m.f.lossShare = rapid.SampledFrom([]float64{0, 0.2, 0.6}).Draw(t, "lossy") },
 			"restart": func(t *rapid.T) {
 				m.f.start(rapid.SampledFrom(m.f.vms).Draw(t, "vm").ID)
 			},
@@ -102,7 +102,7 @@
 			},
 			"heal": func(*rapid.T) { m.f.cut = nil },
 		})
-		m.s.down, m.f.cut, m.f.lossy = false, nil, 0
+		m.s.down, m.f.cut, m.f.lossShare = false, nil, 0
 		head, err := config.DecodeHead(m.s.keys[config.HeadKey].Value)
 		if err != nil {
 			t.Fatal(err)
--- a/core/config/render.go
+++ b/core/config/render.go
@@ -10,7 +10,7 @@
 	"baobabstep"
 )
 
-// RenderInput is what one version is made of.
+// RenderInput is the input of [Render].
 type RenderInput struct {
 	Version    uint64
 	Digest     Digest
@@ -20,8 +20,8 @@
 	Accounts   []*Account
 }
 
-// Render makes the configuration of templates and accounts, or returns
-// CodeInvalid with [Problems] that name each path, value and rule.
+// Render renders templates and accounts into a configuration, or returns
+// CodeInvalid with the [Problems].
 func Render(in RenderInput) (*baobabstep.Config, error) {
 	var p Problems
 	templates := make(map[string]*Template, len(in.Templates))
@@ -36,18 +36,18 @@
 	for _, a := range in.Accounts {
 		c.Services = append(c.Services, renderAccount(&p, a, templates)...)
 	}
-	if err := p.err("config.render"); err != nil {
+	if err := p.toError("config.render"); err != nil {
 		return nil, err
 	}
-	return finish(c)
+	return checkAndIndex(c)
 }
 
-// finish checks what spans accounts and prepares the look-ups.
-func finish(c *baobabstep.Config) (*baobabstep.Config, error) {
+// checkAndIndex checks what spans accounts and builds the lookup indexes.
+func checkAndIndex(c *baobabstep.Config) (*baobabstep.Config, error) {
 	sort.Slice(c.Services, func(i, j int) bool { return c.Services[i].Name < c.Services[j].Name })
 	var p Problems
-	checkWhole(&p, c)
-	if err := p.err("config.render"); err != nil {
+	checkUniqueness(&p, c)
+	if err := p.toError("config.render"); err != nil {
 		return nil, err
 	}
 	c.Index()
@@ -67,15 +67,15 @@
 	var services []baobabstep.Service
 	for i := range a.Services {
 		s := &a.Services[i]
-		at := path + ".services." + s.Name
-		checkName(p, at+".name", s.Name)
+		servicePath := path + ".services." + s.Name
+		checkName(p, servicePath+".name", s.Name)
 		t := templates[s.Template]
 		if t == nil {
-			p.add(at+".template", fmt.Sprintf("%q", s.Template), "the name of a template")
+			p.add(servicePath+".template", fmt.Sprintf("%q", s.Template), "the name of a template")
 			continue
 		}
-		if one, ok := renderService(p, at, a, s, t); ok {
-			services = append(services, one)
+		if service, ok := renderService(p, servicePath, a, s, t); ok {
+			services = append(services, service)
 		}
 	}
 	return services
@@ -109,13 +109,13 @@
 	}
 	checkService(p, path, &out)
 	for _, tv := range values["targets"].targets {
-		one := renderTarget(p, path+".targets."+tv.Name, &out, tv)
-		one.Slots = orElse(tv.Slots, values["slots"].integer)
-		one.Connections = orElse(tv.Connections, values["connections"].integer)
-		if one.Slots < 1 || one.Connections < 0 {
-			p.add(path+".targets."+tv.Name, fmt.Sprintf("%d slots and %d connections", one.Slots, one.Connections), "at least 1 slot and no negative count")
+		target := renderTarget(p, path+".targets."+tv.Name, &out, tv)
+		target.Slots = valueOrDefault(tv.Slots, values["slots"].integer)
+		target.Connections = valueOrDefault(tv.Connections, values["connections"].integer)
+		if target.Slots < 1 || target.Connections < 0 {
+			p.add(path+".targets."+tv.Name, fmt.Sprintf("%d slots and %d connections", target.Slots, target.Connections), "at least 1 slot and no negative count")
 		}
-		out.Targets = append(out.Targets, one)
+		out.Targets = append(out.Targets, target)
 	}
 	if len(out.Targets) == 0 {
 		p.add(path+".targets", "[]", "at least one target")
@@ -123,18 +123,19 @@
 	return out, len(*p) == before
 }
 
-func orElse(n, standard int) int {
+func valueOrDefault(n, defaultValue int) int {
 	if n != 0 {
 		return n
 	}
-	return standard
+	return defaultValue
 }
 
-// resolve returns the JSON of one setting: the account's value, the
-// parameter's default, the template's literal, or the standard value.
+// resolve returns the JSON of one setting: the template's literal, the account's
+// value of the parameter, the parameter's default, or, if the template omits the
+// setting, the setting's default.
 func (t *Template) resolve(s setting, values map[string]json.RawMessage) json.RawMessage {
 	if s.raw == nil {
-		return s.standard
+		return s.defaultValue
 	}
 	name, isParameter := parameterName(s.raw)
 	if !isParameter {
@@ -184,7 +185,7 @@
 	}
 }
 
-// owner is a service, or one of its targets, that claims an address or name.
+// owner is the service or target that has a key: an address or an identifier.
 type owner struct {
 	service *baobabstep.Service
 	target  *baobabstep.Target
@@ -197,10 +198,10 @@
 	return "service " + o.service.Name
 }
 
-// checkWhole refuses what no document shows by itself: an address or a name
-// that stands twice. Two services that share an address would receive each
-// other's packets, and two targets that share an identifier each other's flows.
-func checkWhole(p *Problems, c *baobabstep.Config) {
+// checkUniqueness rejects addresses and identifiers that are used twice, which
+// no single document shows. Two services that share an address would receive
+// each other's packets, two targets that share an identifier each other's flows.
+func checkUniqueness(p *Problems, c *baobabstep.Config) {
 	n := 0
 	for i := range c.Services {
 		n += len(c.Services[i].Targets)
@@ -210,22 +211,22 @@
 	targets := make(map[baobabstep.TargetID]owner, n)
 	for i := range c.Services {
 		s := &c.Services[i]
-		claim(p, services, s.ID, owner{s, nil}, "a name, or hash of a name, that no other service has")
-		claim(p, addresses, s.Address, owner{s, nil}, "an address that nothing else has")
+		claimKey(p, services, s.ID, owner{s, nil}, "a name, or hash of a name, that no other service has")
+		claimKey(p, addresses, s.Address, owner{s, nil}, "an address that nothing else has")
 		for j := range s.Targets {
 			t := &s.Targets[j]
-			claim(p, targets, t.ID, owner{s, t}, "a name, or hash of a name, that no other target has")
-			claim(p, addresses, t.Address, owner{s, t}, "an address that nothing else has")
+			claimKey(p, targets, t.ID, owner{s, t}, "a name, or hash of a name, that no other target has")
+			claimKey(p, addresses, t.Address, owner{s, t}, "an address that nothing else has")
 		}
 	}
 }
 
-// claim notes who has a key. Texts are made only for a clash: the check runs on
-// each VM for each version.
-func claim[K comparable](p *Problems, taken map[K]owner, key K, who owner, rule string) {
+// claimKey records the owner of a key, or a problem if the key is taken. Texts are
+// only formatted for a problem, because each VM checks each version.
+func claimKey[K comparable](p *Problems, taken map[K]owner, key K, newOwner owner, rule string) {
 	if other, ok := taken[key]; ok {
-		p.add(who.String(), key, "%s (taken by %v)", rule, other)
+		p.add(newOwner.String(), key, "%s (taken by %v)", rule, other)
 		return
 	}
-	taken[key] = who
+	taken[key] = newOwner
 }
--- a/core/config/replica.go
+++ b/core/config/replica.go
@@ -11,46 +11,48 @@
 
 // Limits and periods of a replica.
 const (
-	// defaultBytesPerSecond and defaultBurst bound what a VM sends for the
-	// configuration. The rate is half of the control budget of 20 kB/s; the
-	// burst lets a change pass through a VM of the tree without waiting, and
-	// a VM that starts get everything from a few peers in seconds.
+	// defaultBytesPerSecond and defaultBurst limit what a VM sends for the
+	// configuration. The rate is half of the control budget of 20 kB/s. The
+	// burst lets a VM forward a change along the tree without waiting, and a VM
+	// that starts fetch everything from a few peers in seconds.
 	defaultBytesPerSecond = 10 << 10
 	defaultBurst          = 128 << 10
 	// comparePeriod is how often a VM compares versions with a random peer.
-	// A VM that the tree missed learns of a version within about two.
+	// A VM that missed an announcement learns of a version within about two
+	// periods.
 	comparePeriod = time.Second
-	// requestTimeout is when an unanswered request goes to another source.
+	// requestTimeout is the time after which an unanswered request is sent to
+	// another peer.
 	requestTimeout = 1500 * time.Millisecond
-	// peerExpiry is how long a peer's last word counts.
+	// peerExpiry is how long a peer is remembered after its last message.
 	peerExpiry = 30 * time.Second
-	// startWait keeps a VM that just started from taking the first version
-	// it hears: that peer may be the one that lags.
+	// startWait is how long a VM that just started waits before it adopts a
+	// version, since the first peer it hears may have an outdated one.
 	startWait = time.Second
-	// startPeers ends startWait early once this many peers were heard.
+	// startPeers is the number of peers heard that ends startWait early.
 	startPeers = 3
-	// cutOffAfter is the silence after which the platform or the peers
-	// count as out of reach.
+	// cutOffAfter is the silence after which the peers count as unreachable.
 	cutOffAfter = 10 * time.Second
-	// watchedFor and watchedPeriod are how long, and how often, a VM whose
-	// status is looked at asks a reader for fresh summaries.
-	watchedFor    = 3 * time.Second
-	watchedPeriod = 2 * reportPeriod
-	// reportPeriod is how often a reader looks whether its data centre agrees.
+	// statusWatchDuration and statusRefreshPeriod are how long and how often a
+	// VM requests fresh summaries from the readers after [Replica.Watch].
+	statusWatchDuration = 3 * time.Second
+	statusRefreshPeriod = 2 * reportPeriod
+	// reportPeriod is how often a reader checks whether its data centre agrees.
 	reportPeriod = 100 * time.Millisecond
-	// maxPeers bounds the peers remembered.
+	// maxPeers limits the peers remembered.
 	maxPeers = 4096
 )
 
-// ReplicaOptions configure a [Replica]. Zero values mean the defaults.
+// ReplicaOptions configure a [Replica]. Zero values select the defaults.
 type ReplicaOptions struct {
 	Self baobabstep.VM
 	Rand *rand.Rand
-	// BytesPerSecond and Burst bound what is sent.
+	// BytesPerSecond and Burst, in bytes, limit what is sent.
 	BytesPerSecond, Burst int
-	// ReadersPerDataCentre is the number of VMs that read the platform.
+	// ReadersPerDataCentre is the number of VMs per data centre that read the
+	// platform.
 	ReadersPerDataCentre int
-	// Violated is told of broken invariants, by number and detail.
+	// Violated is called when an invariant is violated, such as "I8".
 	Violated func(invariant, detail string)
 }
 
@@ -60,8 +62,8 @@
 	Body []byte
 }
 
-// Snapshot is what a reader got from the platform: the head and those objects
-// that [Replica.Wants] named.
+// Snapshot is what a reader read from the platform: the head and the objects that
+// [Replica.Wants] returned.
 type Snapshot struct {
 	Head    []byte
 	Objects map[Digest][]byte
@@ -75,30 +77,30 @@
 	o       ReplicaOptions
 	started time.Time
 	builder *Builder
-	// objects are those of the set in force, what was replaced recently, and
-	// what was fetched for the version that is to come.
-	objects map[Digest][]byte
-	steps   []step
-	fleet   fleet
-	peers   map[baobabstep.VMID]*peer
-	fetch   fetch
-	serving []pendingWant
-	bucket  bucket
+	// objects are those of the set in force, those replaced recently, and
+	// those fetched for the next version.
+	objects         map[Digest][]byte
+	deltas          []versionDelta
+	fleet           fleet
+	peers           map[baobabstep.VMID]*peer
+	fetch           fetch
+	pendingRequests []pendingRequest
+	bucket          tokenBucket
 	// comparedAt is when versions were last compared with a peer.
-	comparedAt time.Time
-	rounds     int
-	// watchedAt is when somebody last looked at the status; see Watch.
-	watchedAt, refreshedAt time.Time
-	// reported is the version that all VMs of the data centre were last seen
-	// to have; see report.
-	reported uint64
-	// platformAt is the latest sign, own or heard of, that the platform
-	// answers; readAt is this VM's own.
-	platformAt, readAt time.Time
-	summaries          map[string]Summary
-	counts             ReplicaCounts
-	lastErr            error
-	adoptedAt          time.Time
+	comparedAt  time.Time
+	comparisons int
+	// statusReadAt is when Watch was last called.
+	statusReadAt, summariesRefreshedAt time.Time
+	// reportedVersion is the version that all VMs of the data centre were last
+	// reported to have; see reportAgreement.
+	reportedVersion uint64
+	// platformAnsweredAt is when the platform last answered this VM or, as far as
+	// peers told, another; platformReadAt is when it last answered this VM.
+	platformAnsweredAt, platformReadAt time.Time
+	summaries                          map[string]Summary
+	counts                             ReplicaCounts
+	lastErr                            error
+	adoptedAt                          time.Time
 }
 
 // ReplicaCounts counts events since the start of the VM.
@@ -113,7 +115,7 @@
 	BytesReceived uint64 `json:"bytes_received"`
 }
 
-// NewReplica returns a replica that knows no version.
+// NewReplica returns a replica without a version.
 func NewReplica(now time.Time, o ReplicaOptions) *Replica {
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(uint64(o.Self.ID), 1))
@@ -133,15 +135,15 @@
 	r := &Replica{
 		o: o, started: now, builder: NewBuilder(), objects: map[Digest][]byte{},
 		peers: map[baobabstep.VMID]*peer{}, summaries: map[string]Summary{},
-		bucket: bucket{rate: float64(o.BytesPerSecond), burst: float64(o.Burst), tokens: float64(o.Burst), at: now},
+		bucket: tokenBucket{rate: float64(o.BytesPerSecond), burst: float64(o.Burst), tokens: float64(o.Burst), refilledAt: now},
 	}
 	r.fetch.init()
 	r.fleet = newFleet(o.Self, nil, o.ReadersPerDataCentre)
 	return r
 }
 
-// Current returns the version in force, or nil until one is known. Versions
-// only grow.
+// Current returns the configuration in force, or nil if there is none yet. Its
+// version never decreases.
 func (r *Replica) Current() *baobabstep.Config {
 	if s := r.current.Load(); s != nil {
 		return s.Config
@@ -152,7 +154,7 @@
 // Set returns the version in force with its documents, or nil.
 func (r *Replica) Set() *Set { return r.current.Load() }
 
-// Builder returns a builder that knows what is in force, for an accept.
+// Builder returns a builder that has cached the version in force, for an accept.
 func (r *Replica) Builder() *Builder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,61 +169,60 @@
 	return b, ok
 }
 
-// SetFleet says which VMs there are; roles follow from it.
+// SetFleet sets the known VMs, which determine the roles.
 func (r *Replica) SetFleet(now time.Time, all []baobabstep.VM) {
 	f := newFleet(r.o.Self, all, r.o.ReadersPerDataCentre)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, id := range f.near {
-		f.since[id] = now
-		if was, ok := r.fleet.since[id]; ok {
-			f.since[id] = was
+	for _, id := range f.localVMs {
+		f.firstSeen[id] = now
+		if seen, ok := r.fleet.firstSeen[id]; ok {
+			f.firstSeen[id] = seen
 		}
 	}
 	r.fleet = f
 }
 
-// FleetSize returns the number of VMs known, with this one.
+// FleetSize returns the number of known VMs, including this one.
 func (r *Replica) FleetSize() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.fleet.others) + 1
 }
 
-// Reader says whether this VM reads the platform now: it is one of the few
-// chosen in its data centre, or stands in for those that fell silent, or no
-// peer is in reach who could.
+// Reader reports whether this VM reads the platform now: it is one of the readers
+// of its data centre, replaces one that fell silent, or hears no peer at all.
 func (r *Replica) Reader(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reads(now)
+	return r.isReader(now)
 }
 
-func (r *Replica) reads(now time.Time) bool {
+func (r *Replica) isReader(now time.Time) bool {
 	if r.cutOffFromPeers(now) {
 		return true
 	}
-	above, near := r.fleet.above()
-	if !near {
+	preceding, candidate := r.fleet.precedingReaders()
+	if !candidate {
 		return false
 	}
 	alive := 0
-	for _, id := range above {
-		if !r.silent(now, id) {
+	for _, id := range preceding {
+		if !r.isSilent(now, id) {
 			alive++
 		}
 	}
 	return alive < r.o.ReadersPerDataCentre
 }
 
-// silent says whether a VM ranked above this one has not been heard although
-// it was asked; see compare.
-func (r *Replica) silent(now time.Time, id baobabstep.VMID) bool {
-	last := r.fleet.since[id]
+// isSilent reports whether a VM ranked above this one, which compareVersions polls,
+// has not been heard for readerSilenceTimeout.
+func (r *Replica) isSilent(now time.Time, id baobabstep.VMID) bool {
+	last := r.fleet.firstSeen[id]
 	if p := r.peers[id]; p != nil && p.heardAt.After(last) {
 		last = p.heardAt
 	}
-	return now.Sub(last) > silentAfter
+	return now.Sub(last) > readerSilenceTimeout
 }
 
 func (r *Replica) cutOffFromPeers(now time.Time) bool {
@@ -234,24 +235,24 @@
 	return len(r.fleet.others) > 0 && now.Sub(last) > cutOffAfter
 }
 
-// PlatformAnswered notes that the platform answered this VM, if only to say
-// that nothing changed.
+// PlatformAnswered records that the platform answered this VM, even if nothing
+// changed.
 func (r *Replica) PlatformAnswered(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notePlatform(now)
-	r.readAt = now
+	r.recordPlatformAnswer(now)
+	r.platformReadAt = now
 }
 
-func (r *Replica) notePlatform(at time.Time) {
-	if at.After(r.platformAt) {
-		r.platformAt = at
+func (r *Replica) recordPlatformAnswer(at time.Time) {
+	if at.After(r.platformAnsweredAt) {
+		r.platformAnsweredAt = at
 	}
 }
 
-// Wants returns the objects that a reader has to get before the version of
-// head can come into force, as far as is known yet; more may follow once these
-// are here. It returns nothing for a version that is not newer.
+// Wants returns the objects that a reader has to read before the version of head
+// can be adopted, as far as is known yet; objects in have may refer to more. It
+// returns nothing for a version that is not newer than the one in force.
 func (r *Replica) Wants(head []byte, have map[Digest][]byte) ([]Missing, error) {
 	h, err := DecodeHead(head)
 	if err != nil {
@@ -266,7 +267,7 @@
 	return missing, err
 }
 
-// lookup finds objects in have and then in the replica.
+// lookup returns a lookup of objects in have and then in the replica.
 func (r *Replica) lookup(have map[Digest][]byte) Objects {
 	return func(d Digest) ([]byte, bool) {
 		if b, ok := have[d]; ok {
@@ -277,19 +278,19 @@
 	}
 }
 
-// FromPlatform takes a reader's result. A version that is not newer than the
+// FromPlatform handles what a reader read. A version that is not newer than the
 // one in force is never applied.
 func (r *Replica) FromPlatform(now time.Time, s Snapshot) []Out {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notePlatform(now)
-	r.readAt = now
+	r.recordPlatformAnswer(now)
+	r.platformReadAt = now
 	h, err := DecodeHead(s.Head)
 	if err != nil {
 		r.lastErr = err
 		return nil
 	}
-	if !r.newer(h.Version, h.Manifest) {
+	if !r.checkNewer(h.Version, h.Manifest) {
 		return nil
 	}
 	for d, b := range s.Objects {
@@ -303,10 +304,10 @@
 	return outs
 }
 
-// newer decides whether a version may follow the one in force, and counts why
-// not. A platform or peer that offers an older version was restored from a
-// copy or was cut off; applying it would undo accepted changes.
-func (r *Replica) newer(version uint64, manifest Digest) bool {
+// checkNewer reports whether a version is newer than the one in force, and counts
+// the reason if not. A platform or peer that has an older version was restored
+// from a copy or was cut off; applying that would undo accepted changes.
+func (r *Replica) checkNewer(version uint64, manifest Digest) bool {
 	s := r.current.Load()
 	switch {
 	case s == nil || version > s.Manifest.Version:
@@ -314,8 +315,8 @@
 	case version < s.Manifest.Version:
 		r.counts.RefusedOld++
 	case manifest != s.Digest:
-		// The head is written by compare-and-swap only, so this means
-		// that the store was set back and went on from there.
+		// The head is only written by compare-and-swap, so the store was
+		// rolled back and then changed again.
 		r.counts.Clashes++
 	}
 	return false
@@ -328,14 +329,14 @@
 	return 0
 }
 
-// tryAdopt puts the version into force if all its objects are here; otherwise
-// it returns what is missing.
+// tryAdopt puts the version into force if all its objects are available, and
+// otherwise returns the missing ones.
 func (r *Replica) tryAdopt(now time.Time, version uint64, manifest Digest) ([]Out, []Missing) {
 	previous := r.current.Load()
 	s, missing, err := r.builder.Build(manifest, r.lookup(nil), previous)
 	if err != nil {
 		r.lastErr = err
-		r.fetch.refuse(manifest)
+		r.fetch.rejectManifest(manifest)
 		return nil, nil
 	}
 	if len(missing) > 0 {
@@ -343,7 +344,7 @@
 	}
 	if s.Manifest.Version != version {
 		r.lastErr = baobabstep.Errorf(baobabstep.CodeInvalid, "config.adopt", "got a manifest of version %d, want %d", s.Manifest.Version, version)
-		r.fetch.refuse(manifest)
+		r.fetch.rejectManifest(manifest)
 		return nil, nil
 	}
 	if previous != nil && version <= previous.Manifest.Version {
@@ -354,8 +355,8 @@
 	r.adoptedAt = now
 	r.lastErr = nil
 	r.counts.Adopted++
-	r.noteStep(previous, s)
+	r.recordDelta(previous, s)
 	r.prune(s)
 	r.fetch.init()
-	return r.offer(now), nil
+	return r.announceVersion(now), nil
 }
--- a/core/config/restore.go
+++ b/core/config/restore.go
@@ -6,21 +6,21 @@
 	"baobabstep"
 )
 
-// isSetBack tells whether the store's version, by the head that was read last, is older
-// than what is in force here.
-func (a *Accept) isSetBack() bool {
+// storeRolledBack reports whether the head read last has an older version than the
+// one in force on this VM.
+func (a *Accept) storeRolledBack() bool {
 	return a.o.Current != nil && a.head.Version < a.o.Current.Manifest.Version
 }
 
-// prepareRestore makes the writes that give a store that was set back what is in force
-// here: what was accepted may not revert, and a change on top of the older version
-// would be given a number that is in use. The store's head still is the one value
-// that counts: whoever writes it first has restored the store.
+// prepareRestore makes the writes that bring a rolled-back store to the version in
+// force on this VM. Accepted changes must not revert, and a change on top of the
+// older version would reuse a version number. The restore commits with the
+// compare-and-swap of the head, so only one VM's restore takes effect.
 func (a *Accept) prepareRestore() Step {
 	current := a.o.Current
 	var there map[Digest]struct{}
-	if a.before != nil {
-		there = a.before.reachable()
+	if a.baseSet != nil {
+		there = a.baseSet.reachable()
 	}
 	lost := map[Digest][]byte{}
 	for d := range current.reachable() {
@@ -30,7 +30,7 @@
 		b, ok := a.lookup(d)
 		if !ok || a.change.DryRun {
 			return a.fail(baobabstep.Errorf(baobabstep.CodeOldVersion, "config.restore",
-				"the platform has version %d although version %d is in force: its store was set back and cannot be restored by this command; nothing was accepted", a.head.Version, current.Manifest.Version))
+				"the platform has version %d although version %d is in force: its store was rolled back and cannot be restored by this command; nothing was accepted", a.head.Version, current.Manifest.Version))
 		}
 		lost[d] = b
 	}
@@ -42,7 +42,7 @@
 
 // lostChanges returns the changes since the store's version, oldest first, and adds
 // the manifests that hold their audit entries to the objects to write. It goes back
-// as far as manifests are here.
+// as far as manifests are available on this VM.
 func (a *Accept) lostChanges() (changes []ChangeID) {
 	for m := a.o.Current.Manifest; m.Version > a.head.Version; {
 		changes = append(changes, ChangeID{m.Entry.ChangeID, m.Version})
--- a/core/config/restore_test.go
+++ b/core/config/restore_test.go
@@ -11,9 +11,9 @@
 	"baobabstep/core/config"
 )
 
-// setBack returns a store with version 1, and a VM with version 3 in force, which the
-// store has lost.
-func setBack(c *qt.C) (*store, config.AcceptOptions) {
+// rolledBackStore returns a store that was rolled back to version 1, and the options
+// of a VM with version 3 in force.
+func rolledBackStore(c *qt.C) (*store, config.AcceptOptions) {
 	s := newStore()
 	mustAccept(c, s, firstChange(3, 2))
 	old := maps.Clone(s.keys)
@@ -28,13 +28,13 @@
 	}}
 }
 
-// Guards against accepted changes that are lost with the platform's last seconds, and
-// against two changes under one version.
-func TestSetBackStoreIsRestored(t *testing.T) {
+// Guards against accepted changes that are lost when the platform restores a copy, and
+// against two changes with the same version.
+func TestRolledBackStoreIsRestored(t *testing.T) {
 	next := queueChange("fourth", 0, 2, -1, 7)
 	t.Run("before the next change", func(t *testing.T) {
 		c := qt.New(t)
-		s, o := setBack(c)
+		s, o := rolledBackStore(c)
 		res := s.accept(testStart, next, o)
 		c.Assert(res.Err, qt.IsNil)
 		c.Assert(res.Version, qt.Equals, uint64(4))
@@ -48,7 +48,7 @@
 	})
 	t.Run("without a change", func(t *testing.T) {
 		c := qt.New(t)
-		s, o := setBack(c)
+		s, o := rolledBackStore(c)
 		c.Assert(s.run(testStart, config.NewRestore(o)).Err, qt.IsNil)
 		c.Assert(s.read(c).Digest, qt.Equals, o.Current.Digest)
 		puts := s.puts
@@ -57,13 +57,13 @@
 	})
 	t.Run("that lost everything", func(t *testing.T) {
 		c := qt.New(t)
-		s, o := setBack(c)
+		s, o := rolledBackStore(c)
 		clear(s.keys)
 		c.Assert(s.accept(testStart, next, o).Version, qt.Equals, uint64(4))
 	})
 	t.Run("but not by a dry run", func(t *testing.T) {
 		c := qt.New(t)
-		s, o := setBack(c)
+		s, o := rolledBackStore(c)
 		dry := next
 		dry.DryRun = true
 		puts := s.puts
@@ -72,14 +72,13 @@
 	})
 }
 
-// Guards against a store that is left with half of what was lost when the answer to
-// one of the writes is lost.
+// Guards against a partial restore when the answer to one of its writes is lost.
 func TestLostAnswersOfARestore(t *testing.T) {
 	for at := 1; at <= 12; at++ {
 		for _, takes := range []bool{true, false} {
 			t.Run(fmt.Sprintf("write %d, takes effect %v", at, takes), func(t *testing.T) {
 				c := qt.New(t)
-				s, o := setBack(c)
+				s, o := rolledBackStore(c)
 				n := 0
 				s.onPut = func(string) (bool, baobabstep.Code) {
 					if n++; n == at {
--- a/core/config/spread.go
+++ b/core/config/spread.go
@@ -7,41 +7,41 @@
 	"baobabstep"
 )
 
-// peer is what is known of another VM.
+// peer is the state kept for another VM.
 type peer struct {
 	version  uint64
 	manifest Digest
 	heardAt  time.Time
-	// askedAt is when a request went out that has not been answered.
-	askedAt time.Time
-	// failed counts requests in a row that went unanswered.
-	failed int
+	// requestedAt is when the pending request was sent, zero if there is none.
+	requestedAt time.Time
+	// unanswered counts consecutive unanswered requests.
+	unanswered int
 }
 
-// maxFailed is how many requests a peer may leave unanswered before it no
-// longer counts as a source, until it is heard again.
-const maxFailed = 2
+// maxUnanswered is the number of consecutive unanswered requests after which a
+// peer is not used as a source until it is heard again.
+const maxUnanswered = 2
 
-// step remembers what changed between two versions adopted here, so that a
-// peer that comes from the first gets the difference in one message.
-type step struct {
+// versionDelta lists the objects that changed between two versions adopted by this
+// VM, so that a peer with the first version gets the difference in one message.
+type versionDelta struct {
 	from, to uint64
 	pieces   []Missing
 }
 
-// maxSteps bounds the steps, and by that the replaced objects that are kept.
-const maxSteps = 32
+// maxDeltas limits the deltas, and thereby the replaced objects, that are kept.
+const maxDeltas = 32
 
-// pendingWant is a request that waits for the budget.
-type pendingWant struct {
+// pendingRequest is a request that waits for send budget.
+type pendingRequest struct {
 	from baobabstep.VMID
 	m    *message
 }
 
-// maxServing bounds the requests that wait; one VM has at most one.
-const maxServing = 64
+// maxPendingRequests limits the pending requests; each VM has at most one.
+const maxPendingRequests = 64
 
-// Handle takes a message from a peer.
+// Handle processes a message from a peer and returns the messages to send.
 func (r *Replica) Handle(now time.Time, from baobabstep.VMID, body []byte) []Out {
 	m, err := decodeMessage(body)
 	r.mu.Lock()
@@ -56,19 +56,20 @@
 		return nil
 	}
 	if m.PlatformAgeMS > 0 {
-		r.notePlatform(now.Add(-time.Duration(m.PlatformAgeMS-1) * time.Millisecond))
+		r.recordPlatformAnswer(now.Add(-time.Duration(m.PlatformAgeMS-1) * time.Millisecond))
 	}
 	r.mergeSummaries(now, m.Summaries)
 	switch m.Kind {
-	case messageHave:
-		return r.handleHave(now, from, p, m)
-	case messageWant:
-		return r.handleWant(now, from, m)
+	case messageAnnounce:
+		return r.handleAnnounce(now, from, p, m)
+	case messageRequest:
+		return r.handleRequest(now, from, m)
 	}
 	return r.handlePieces(now, from, p, m)
 }
 
-// peer returns the state of a peer, or nil when there is no room for it.
+// peer records that a peer was heard and returns its state, or nil for this VM
+// itself and when maxPeers are known already.
 func (r *Replica) peer(now time.Time, id baobabstep.VMID) *peer {
 	p := r.peers[id]
 	if p == nil {
@@ -79,76 +80,76 @@
 		r.peers[id] = p
 	}
 	p.heardAt = now
-	p.failed = 0
+	p.unanswered = 0
 	return p
 }
 
-func (r *Replica) handleHave(now time.Time, from baobabstep.VMID, p *peer, m *message) []Out {
-	// The last word counts, even if it names an older version: the peer may
-	// have started anew. A word that came late is put right by the next.
+func (r *Replica) handleAnnounce(now time.Time, from baobabstep.VMID, p *peer, m *message) []Out {
+	// The last message counts even if its version is older, since the peer may
+	// have restarted. The next message corrects one that arrived late.
 	p.version, p.manifest = m.Version, m.Manifest
 	var outs []Out
-	mine := r.version()
-	if m.Answer || m.Version < mine {
-		outs = append(outs, r.have(now, from, len(m.Summaries) > 0))
+	own := r.version()
+	if m.Answer || m.Version < own {
+		outs = append(outs, r.announcement(now, from, len(m.Summaries) > 0))
 	}
-	if m.Version == 0 || !r.newer(m.Version, m.Manifest) {
+	if m.Version == 0 || !r.checkNewer(m.Version, m.Manifest) {
 		return outs
 	}
-	return append(outs, r.pursue(now)...)
+	return append(outs, r.fetchNewest(now)...)
 }
 
-// have makes a messageHave.
-func (r *Replica) have(now time.Time, to baobabstep.VMID, summaries bool) Out {
-	m := r.header(now, messageHave)
+// announcement returns a messageAnnounce.
+func (r *Replica) announcement(now time.Time, to baobabstep.VMID, summaries bool) Out {
+	m := r.newMessage(now, messageAnnounce)
 	if summaries {
 		m.Summaries = r.allSummaries(now)
 	}
-	return r.out(to, m)
+	return r.outgoing(to, m)
 }
 
-func (r *Replica) header(now time.Time, kind messageKind) *message {
+func (r *Replica) newMessage(now time.Time, kind messageKind) *message {
 	m := &message{Kind: kind}
 	if s := r.current.Load(); s != nil {
 		m.Version, m.Manifest = s.Manifest.Version, s.Digest
 	}
-	if !r.platformAt.IsZero() {
-		m.PlatformAgeMS = uint64(max(0, now.Sub(r.platformAt)).Milliseconds()) + 1
+	if !r.platformAnsweredAt.IsZero() {
+		m.PlatformAgeMS = uint64(max(0, now.Sub(r.platformAnsweredAt)).Milliseconds()) + 1
 	}
 	return m
 }
 
-func (r *Replica) out(to baobabstep.VMID, m *message) Out {
+func (r *Replica) outgoing(to baobabstep.VMID, m *message) Out {
 	body := m.encode()
 	r.bucket.spend(len(body))
 	r.counts.BytesSent += uint64(len(body))
 	return Out{To: to, Body: body}
 }
 
-// offer tells this VM's children in the trees which version is in force here.
-func (r *Replica) offer(now time.Time) []Out {
+// announceVersion announces the version in force to the VMs of announceTo.
+func (r *Replica) announceVersion(now time.Time) []Out {
 	var outs []Out
-	for _, id := range r.fleet.children(r.version(), r.reads(now)) {
-		// The readers are told even if they have it: they count.
-		counts := slices.Contains(r.fleet.readers[r.o.Self.DataCentre], id)
-		if p := r.peers[id]; !counts && p != nil && p.version >= r.version() {
+	for _, id := range r.fleet.announceTo(r.version(), r.isReader(now)) {
+		// Readers get it even if they have the version: they count who has it.
+		tracksVersions := slices.Contains(r.fleet.readers[r.o.Self.DataCentre], id)
+		if p := r.peers[id]; !tracksVersions && p != nil && p.version >= r.version() {
 			continue
 		}
-		outs = append(outs, r.have(now, id, false))
+		outs = append(outs, r.announcement(now, id, false))
 	}
 	return outs
 }
 
-// Tick does what is due by time. It is to be called every 100 ms.
+// Tick runs the periodic work. It must be called every 100 ms.
 func (r *Replica) Tick(now time.Time) []Out {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	outs := r.serve(now)
+	outs := r.servePending(now)
 	r.expire(now)
-	outs = append(outs, r.compare(now)...)
-	outs = append(outs, r.report(now)...)
-	outs = append(outs, r.refresh(now)...)
-	return append(outs, r.pursue(now)...)
+	outs = append(outs, r.compareVersions(now)...)
+	outs = append(outs, r.reportAgreement(now)...)
+	outs = append(outs, r.refreshSummaries(now)...)
+	return append(outs, r.fetchNewest(now)...)
 }
 
 func (r *Replica) expire(now time.Time) {
@@ -157,20 +158,19 @@
 			delete(r.peers, id)
 			continue
 		}
-		if !p.askedAt.IsZero() && now.Sub(p.askedAt) > requestTimeout {
-			p.askedAt = time.Time{}
-			p.failed++
+		if !p.requestedAt.IsZero() && now.Sub(p.requestedAt) > requestTimeout {
+			p.requestedAt = time.Time{}
+			p.unanswered++
 			r.counts.RequestsLost++
-			r.fetch.release(id)
+			r.fetch.releaseRequests(id)
 		}
 	}
 }
 
-// compare sends the version in force to a random peer of the data centre, and
-// now and then to one of another. The tree carries a version fast; this carries
-// it surely, since a VM that the tree missed is soon picked, or picks, one that
-// was not.
-func (r *Replica) compare(now time.Time) []Out {
+// compareVersions sends the version in force to a random peer of the data centre,
+// and occasionally to one of another. This anti-entropy reaches the VMs that an
+// announcement missed.
+func (r *Replica) compareVersions(now time.Time) []Out {
 	period := comparePeriod
 	if r.current.Load() == nil {
 		period = comparePeriod / 4
@@ -179,107 +179,108 @@
 		return nil
 	}
 	r.comparedAt = now
-	r.rounds++
+	r.comparisons++
 	var outs []Out
 	ask := func(among []baobabstep.VMID, summaries bool) {
-		if id, ok := r.draw(among); ok {
-			outs = append(outs, r.compareWith(now, id, summaries))
+		if id, ok := r.pickPeer(among); ok {
+			outs = append(outs, r.comparison(now, id, summaries))
 		}
 	}
-	ask(r.fleet.near, r.withSummaries())
+	ask(r.fleet.localVMs, r.summariesDue())
 	if r.current.Load() == nil {
-		ask(r.fleet.near, false)
-		ask(r.fleet.far, false)
+		ask(r.fleet.localVMs, false)
+		ask(r.fleet.remoteVMs, false)
 		return outs
 	}
-	if above, near := r.fleet.above(); near {
-		for _, id := range above {
-			outs = append(outs, r.compareWith(now, id, false))
+	if preceding, candidate := r.fleet.precedingReaders(); candidate {
+		for _, id := range preceding {
+			outs = append(outs, r.comparison(now, id, false))
 		}
 	}
-	reads := r.reads(now)
-	if reads || r.o.Rand.IntN(max(farPeriod, len(r.fleet.near))) == 0 {
-		ask(r.fleet.farReaders(r.o.Rand.IntN), reads && r.withSummaries())
+	reads := r.isReader(now)
+	if reads || r.o.Rand.IntN(max(comparisonsPerRemote, len(r.fleet.localVMs))) == 0 {
+		ask(r.fleet.remoteReaders(r.o.Rand.IntN), reads && r.summariesDue())
 	}
 	return outs
 }
 
-// report tells one reader of each other data centre, at once, that all VMs of
-// this one have a version: an operator may be waiting for that.
-func (r *Replica) report(now time.Time) []Out {
-	if !r.reads(now) || r.reported == r.version() {
+// reportAgreement tells one reader of each other data centre as soon as all VMs of
+// this one have the version in force, since an operator may wait for that.
+func (r *Replica) reportAgreement(now time.Time) []Out {
+	if !r.isReader(now) || r.reportedVersion == r.version() {
 		return nil
 	}
 	own := r.ownSummary(now)
 	if own.Oldest < r.version() || own.Heard < own.VMs {
 		return nil
 	}
-	r.reported = r.version()
+	r.reportedVersion = r.version()
 	r.summaries[own.DataCentre] = own
 	var outs []Out
 	for centre, readers := range r.fleet.readers {
 		if centre == r.o.Self.DataCentre {
 			continue
 		}
-		m := r.header(now, messageHave)
+		m := r.newMessage(now, messageAnnounce)
 		m.Summaries = []Summary{own}
-		outs = append(outs, r.out(readers[r.o.Rand.IntN(len(readers))], m))
+		outs = append(outs, r.outgoing(readers[r.o.Rand.IntN(len(readers))], m))
 	}
 	return outs
 }
 
-// refresh asks the readers of the data centre for summaries while somebody
-// looks at the status.
-func (r *Replica) refresh(now time.Time) []Out {
-	if r.watchedAt.IsZero() || now.Sub(r.watchedAt) > watchedFor || now.Sub(r.refreshedAt) < watchedPeriod {
+// refreshSummaries requests summaries from the readers of the data centre for
+// statusWatchDuration after [Replica.Watch].
+func (r *Replica) refreshSummaries(now time.Time) []Out {
+	if r.statusReadAt.IsZero() || now.Sub(r.statusReadAt) > statusWatchDuration || now.Sub(r.summariesRefreshedAt) < statusRefreshPeriod {
 		return nil
 	}
-	r.refreshedAt = now
+	r.summariesRefreshedAt = now
 	var outs []Out
 	for _, id := range r.fleet.readers[r.o.Self.DataCentre] {
 		if id != r.o.Self.ID {
-			outs = append(outs, r.compareWith(now, id, true))
+			outs = append(outs, r.comparison(now, id, true))
 		}
 	}
 	return outs
 }
 
-func (r *Replica) compareWith(now time.Time, id baobabstep.VMID, summaries bool) Out {
-	m := r.header(now, messageHave)
+func (r *Replica) comparison(now time.Time, id baobabstep.VMID, summaries bool) Out {
+	m := r.newMessage(now, messageAnnounce)
 	m.Answer = true
 	if summaries {
 		m.Summaries = r.allSummaries(now)
 	}
-	return r.out(id, m)
+	return r.outgoing(id, m)
 }
 
 const (
-	// farPeriod is how many comparisons a VM that is no reader makes for one
-	// with another data centre, in the mean. Where a data centre has more VMs
-	// than this, they make one a second together, since the readers of the
-	// others have to answer.
-	farPeriod = 8
-	// summaryPeriod is how many comparisons there are for one with summaries.
-	summaryPeriod = 3
+	// comparisonsPerRemote is the mean number of comparisons that a non-reader makes
+	// per comparison with another data centre. In a data centre with more VMs
+	// than this, all VMs together make one a second, to limit the load on the
+	// readers of the others.
+	comparisonsPerRemote = 8
+	// comparisonsPerSummary is the number of comparisons per one that carries
+	// summaries.
+	comparisonsPerSummary = 3
 )
 
-func (r *Replica) withSummaries() bool { return r.rounds%summaryPeriod == 0 }
+func (r *Replica) summariesDue() bool { return r.comparisons%comparisonsPerSummary == 0 }
 
-func (r *Replica) draw(among []baobabstep.VMID) (baobabstep.VMID, bool) {
+func (r *Replica) pickPeer(candidates []baobabstep.VMID) (baobabstep.VMID, bool) {
 	for range 3 {
-		if len(among) == 0 {
+		if len(candidates) == 0 {
 			return 0, false
 		}
-		if id := among[r.o.Rand.IntN(len(among))]; id != r.o.Self.ID {
+		if id := candidates[r.o.Rand.IntN(len(candidates))]; id != r.o.Self.ID {
 			return id, true
 		}
 	}
 	return 0, false
 }
 
-// farReaders returns the readers of one other data centre, or any VMs of
-// others where no reader is known.
-func (f *fleet) farReaders(intN func(int) int) []baobabstep.VMID {
+// remoteReaders returns the readers of one other data centre, chosen by intN, or nil if
+// there is none.
+func (f *fleet) remoteReaders(intN func(int) int) []baobabstep.VMID {
 	var centres []string
 	for c := range f.readers {
 		if c != f.self.DataCentre {
@@ -293,42 +294,41 @@
 	return f.readers[centres[intN(len(centres))]]
 }
 
-// noteStep remembers the difference between two versions in force.
-func (r *Replica) noteStep(previous, s *Set) {
+// recordDelta records the difference between two consecutive versions in force.
+func (r *Replica) recordDelta(previous, s *Set) {
 	if previous == nil {
 		return
 	}
-	st := step{from: previous.Manifest.Version, to: s.Manifest.Version}
-	st.pieces = append(st.pieces, Missing{s.Digest, previous.Digest})
+	delta := versionDelta{from: previous.Manifest.Version, to: s.Manifest.Version}
+	delta.pieces = append(delta.pieces, Missing{s.Digest, previous.Digest})
 	for n, d := range s.pages {
 		if d != previous.pages[n] {
-			st.pieces = append(st.pieces, Missing{d, previous.pages[n]})
+			delta.pieces = append(delta.pieces, Missing{d, previous.pages[n]})
 		}
 	}
 	if q := s.Manifest.Quarantine; q != previous.Manifest.Quarantine && !q.IsZero() {
-		st.pieces = append(st.pieces, Missing{q, previous.Manifest.Quarantine})
+		delta.pieces = append(delta.pieces, Missing{q, previous.Manifest.Quarantine})
 	}
 	for k, ref := range s.refs {
 		if before := previous.refs[k].Digest; ref.Digest != before {
-			st.pieces = append(st.pieces, Missing{ref.Digest, before})
+			delta.pieces = append(delta.pieces, Missing{ref.Digest, before})
 		}
 	}
-	if len(st.pieces) > maxWants {
-		r.steps = nil
+	if len(delta.pieces) > maxPiecesPerMessage {
+		r.deltas = nil
 		return
 	}
-	r.steps = append(r.steps, st)
-	if len(r.steps) > maxSteps {
-		r.steps = slices.Delete(r.steps, 0, 1)
+	r.deltas = append(r.deltas, delta)
+	if len(r.deltas) > maxDeltas {
+		r.deltas = slices.Delete(r.deltas, 0, 1)
 	}
 }
 
-// prune drops the objects that neither the set in force nor a remembered step
-// uses.
+// prune removes the objects that neither the set in force nor a delta uses.
 func (r *Replica) prune(s *Set) {
 	used := s.reachable()
-	for _, st := range r.steps {
-		for _, p := range st.pieces {
+	for _, delta := range r.deltas {
+		for _, p := range delta.pieces {
 			used[p.Digest] = struct{}{}
 			used[p.Base] = struct{}{}
 		}
--- a/core/config/spread_test.go
+++ b/core/config/spread_test.go
@@ -27,10 +27,9 @@
 	}
 }
 
-// TestSpreadFaults: an operator accepts a change while messages are lost,
-// doubled and late. The caller of the old version must not see it come back:
-// the change is in force on every VM in reach within seconds, and no VM returns
-// to an earlier one, since each compares versions before it takes one.
+// TestSpreadFaults guards against VMs that miss a change or return to an earlier
+// version when messages are lost, duplicated or late, or readers are unavailable. The
+// change must be in force on every reachable VM within seconds.
 func TestSpreadFaults(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []struct {
@@ -38,7 +37,7 @@
 		within time.Duration
 		set    func(f *fleet)
 	}{
-		{"one message in five lost, one in five doubled late", 15 * time.Second, func(f *fleet) { f.lossy = 0.2 }},
+		{"one message in five lost, one in five doubled late", 15 * time.Second, func(f *fleet) { f.lossShare = 0.2 }},
 		{"the first two VMs of each data centre are gone", 6 * time.Second, func(f *fleet) {
 			for i, vm := range f.vms {
 				if i%4 < 2 {
@@ -66,7 +65,7 @@
 	}
 }
 
-// reader returns a VM of the data centre that reads the platform.
+// reader returns the identifier of a reader of the data centre, or 0.
 func (f *fleet) reader(centre string) baobabstep.VMID {
 	for _, vm := range f.vms {
 		if vm.DataCentre == centre && f.replicas[vm.ID].Reader(f.now) {
@@ -76,9 +75,9 @@
 	return 0
 }
 
-// TestPlatformDownForHours: the platform is out of reach and every VM is
-// replaced in turn meanwhile. Callers go on being served by the version
-// accepted last: each new VM gets it from its peers, and none serves nothing.
+// TestPlatformDownForHours guards against VMs without a configuration when every VM
+// is replaced in turn during an outage of the platform. Each new VM must get the
+// latest version from its peers.
 func TestPlatformDownForHours(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -90,12 +89,12 @@
 	s.down = true
 	for range 2 {
 		for _, vm := range f.vms {
-			f.wait(10 * time.Second)
+			f.advance(10 * time.Second)
 			f.start(vm.ID)
 			assertInForce(c, f, 6*time.Second, 2)
 		}
 	}
-	f.wait(time.Minute)
+	f.advance(time.Minute)
 	status := f.replicas[f.vms[0].ID].Status(f.now)
 	c.Assert(status.CutOffPlatform, qt.IsTrue)
 	c.Assert(status.CutOffPeers, qt.IsFalse)
@@ -104,9 +103,9 @@
 	assertInForce(c, f, 6*time.Second, 3)
 }
 
-// TestPartition: one data centre is cut off from the others and the platform,
-// and a change is accepted on the other side. The cut-off side goes on with the
-// version it has and says so; after healing it catches up and nothing reverts.
+// TestPartition guards against reverted versions after a partition: a change is
+// accepted while one data centre is cut off from the others and the platform. That
+// data centre must keep its version, report the cut-off, and catch up afterwards.
 func TestPartition(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -120,7 +119,7 @@
 	}
 	f.cut = func(from, to baobabstep.VMID) bool { return (centre[from] == "c") != (centre[to] == "c") }
 	mustAccept(c, s, queueChange("second", 3, 4, -1, 9))
-	f.wait(time.Minute)
+	f.advance(time.Minute)
 	for _, vm := range f.vms {
 		want := uint64(2)
 		if vm.DataCentre == "c" {
@@ -134,9 +133,9 @@
 	assertInForce(c, f, 6*time.Second, 2)
 }
 
-// TestDataCentreRestartedAlone: all VMs of a data centre restart while it is
-// cut off from the rest and the platform. Nothing there knows a configuration;
-// the VMs say what they lack instead of serving a guess.
+// TestDataCentreRestartedAlone guards against VMs that serve a guessed configuration:
+// all VMs of a data centre restart while it is cut off from the others and the
+// platform. They must have no version in force and report what they lack.
 func TestDataCentreRestartedAlone(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -154,7 +153,7 @@
 			f.start(vm.ID)
 		}
 	}
-	f.wait(time.Minute)
+	f.advance(time.Minute)
 	for _, vm := range f.vms {
 		if vm.DataCentre == "c" {
 			c.Assert(f.replicas[vm.ID].Current(), qt.IsNil)
@@ -165,9 +164,9 @@
 	assertInForce(c, f, 6*time.Second, 1)
 }
 
-// TestOldVersionReturns: a VM that was cut off with version 1 returns after all
-// others were replaced and have version 3. It must take 3, and no other may
-// take 1, neither from it nor from a platform that was set back.
+// TestOldVersionReturns guards against reverting to an old version: a VM that was
+// cut off with version 1 reconnects when all others have version 3. It must adopt 3,
+// and no other VM may adopt 1, neither from it nor from a rolled-back platform.
 func TestOldVersionReturns(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -184,18 +183,18 @@
 	f.cut = func(from, to baobabstep.VMID) bool { return from == lost || to == lost }
 	mustAccept(c, s, queueChange("second", 3, 4, -1, 9))
 	mustAccept(c, s, queueChange("third", 4, 4, -1, 9))
-	f.wait(5 * time.Second)
+	f.advance(5 * time.Second)
 	s.down = true
 	for _, vm := range f.vms[1:4] {
 		f.start(vm.ID)
-		f.wait(5 * time.Second)
+		f.advance(5 * time.Second)
 	}
 	f.cut = nil
 	assertInForce(c, f, 6*time.Second, 3)
 
 	f.store = old
-	f.wait(10 * time.Second)
-	assertSound(c, f)
+	f.advance(10 * time.Second)
+	assertNoReverts(c, f)
 	for _, vm := range f.vms {
 		c.Assert(f.replicas[vm.ID].Current().Version, qt.Equals, uint64(3))
 	}
@@ -203,10 +202,10 @@
 	c.Assert(baobabstep.CodeOf(res.Err), qt.Equals, baobabstep.CodeOldVersion)
 }
 
-// TestMissedByTheTree: each VM in turn hears nothing while a change spreads. It
-// would keep the old version until the next change, since nobody offers it the
-// new one again; the comparison with a random peer must bring it within seconds.
-func TestMissedByTheTree(t *testing.T) {
+// TestMissedAnnouncement guards against a VM that keeps the old version because it
+// was cut off while a change was announced, which is not repeated. The comparison
+// with random peers must bring it the change within seconds.
+func TestMissedAnnouncement(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := newStore()
@@ -217,7 +216,7 @@
 	for i, vm := range f.vms {
 		f.cut = func(from, to baobabstep.VMID) bool { return from == vm.ID || to == vm.ID }
 		mustAccept(c, s, queueChange(fmt.Sprint(i), 3, 4, i-1, i))
-		f.wait(time.Second)
+		f.advance(time.Second)
 		s.down = true
 		f.cut = nil
 		assertInForce(c, f, 5*time.Second, uint64(2+i))
@@ -225,10 +224,10 @@
 	}
 }
 
-// TestStartNextToOldPeer: a VM starts while the platform is down, and the first
-// peer to answer is one that was cut off long ago. Applying its version would
-// bring back what operators replaced, so the VM hears several peers first.
-func TestStartNextToOldPeer(t *testing.T) {
+// TestStartWithOutdatedPeer guards against adopting an outdated version at the start:
+// the platform is down and the first peer to answer was cut off long ago. The VM
+// must hear several peers before it adopts a version.
+func TestStartWithOutdatedPeer(t *testing.T) {
 	t.Parallel()
 	for seed := range 8 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -240,14 +239,14 @@
 			old, fresh := f.vms[seed%6].ID, f.vms[(seed+1)%6].ID
 			f.cut = func(from, to baobabstep.VMID) bool { return from == old || to == old }
 			mustAccept(c, s, queueChange("second", 3, 4, -1, 9))
-			f.wait(5 * time.Second)
+			f.advance(5 * time.Second)
 			s.down = true
 			f.start(fresh)
-			// At first the VM that starts hears only the old peer.
+			// At first the starting VM hears only the outdated peer.
 			f.cut = func(from, to baobabstep.VMID) bool {
 				return (from == fresh) != (to == fresh) && from != old && to != old || from != fresh && to != fresh
 			}
-			f.wait(800 * time.Millisecond)
+			f.advance(800 * time.Millisecond)
 			c.Assert(f.replicas[fresh].Current(), qt.IsNil)
 			f.cut = nil
 			assertInForce(c, f, 6*time.Second, 2)
@@ -256,10 +255,9 @@
 	}
 }
 
-// TestLargeAccountCorrupted: an account near a megabyte spreads in many pieces
-// while one message in 25 has a changed byte. A VM that took such an object
-// would send callers to a wrong address; every object is checked against its
-// name before use, so the version arrives late and whole.
+// TestLargeAccountCorrupted guards against corrupted objects: an account of nearly
+// one megabyte is sent in many pieces while one message in 25 has a changed byte.
+// Every object is verified by its digest, so the version must arrive unmodified.
 func TestLargeAccountCorrupted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -282,14 +280,14 @@
 	f := newFleet(1, 4, s)
 	f.corrupt = 0.04
 	assertInForce(c, f, 2*time.Minute, 1)
-	f.wait(20 * time.Second)
+	f.advance(20 * time.Second)
 	f.corrupt = 0
 	before := f.total()
 	change = queueChange("second", 0, targets, -1, 9)
 	change.Edits[0].Base, change.Edits[0].Document = first, second
 	mustAccept(c, s, change)
 	assertInForce(c, f, 6*time.Second, 2)
-	// Most of the account is sent as a reference to the one before.
+	// Most of the account is encoded as references to its previous version.
 	c.Assert((f.total()-before)/len(f.vms) < 20<<10, qt.IsTrue, qt.Commentf("%d bytes a VM", (f.total()-before)/len(f.vms)))
 	set := s.read(c)
 	for _, r := range f.replicas {
@@ -298,11 +296,10 @@
 	}
 }
 
-// TestStartPastSpentBudget: a VM starts while the platform is down, and the peer
-// that it asks first has spent its budget. Callers of the new VM would wait for
-// that one's answers although other peers are idle; what a peer holds back is
-// asked of another.
-func TestStartPastSpentBudget(t *testing.T) {
+// TestStartWithSpentBudgets guards against a slow start: the platform is down and the
+// peer asked first has spent its send budget, although others are idle. The VM must
+// request from another peer what one does not answer.
+func TestStartWithSpentBudgets(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := newStore()
@@ -310,11 +307,11 @@
 	f := newFleet(1, 8, s)
 	assertInForce(c, f, 6*time.Second, 1)
 	s.down = true
-	// All but two VMs have so little left that one answer takes minutes.
+	// All but two VMs have so little budget that one answer takes minutes.
 	f.rate, f.burst = 100, 1<<10
 	for _, vm := range f.vms[:6] {
 		f.start(vm.ID)
-		f.wait(20 * time.Second)
+		f.advance(20 * time.Second)
 	}
 	f.rate, f.burst = 0, 0
 	for _, vm := range f.vms[:3] {
@@ -323,13 +320,13 @@
 		f.rate, f.burst = 100, 1<<10
 		f.start(vm.ID)
 		f.rate, f.burst = 0, 0
-		f.wait(20 * time.Second)
+		f.advance(20 * time.Second)
 	}
 }
 
-// TestReadersLeave: both readers of a data centre announce a planned stop and
-// then fall silent, while the others still list them. A change accepted in that
-// moment must not wait for their silence to be noticed.
+// TestReadersLeave guards against a delayed change when both readers of a data centre
+// announce a planned stop and then fall silent, while the others still list them.
+// Their successors must read at once, without waiting for readerSilenceTimeout.
 func TestReadersLeave(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -351,10 +348,10 @@
 	assertInForce(c, f, time.Second, 2)
 }
 
-// TestStatusOfOthers: an operator waits for a change to be in force everywhere. A
-// data centre that was not heard, because the VM has just started or the data
-// centre is cut off, must show as behind, not be left out; and one that has the
-// version must show so within a second on any VM that is asked.
+// TestStatusOfOthers guards against a wrong status while an operator waits for a
+// change to be in force everywhere. A data centre that was not heard, because the VM
+// has just started or the data centre is cut off, must count as behind. One that has
+// the version must be reported within a second by any VM.
 func TestStatusOfOthers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -366,7 +363,7 @@
 	_, complete := first.InForceAt(time.Minute)
 	c.Assert(complete, qt.IsFalse)
 	assertInForce(c, f, 6*time.Second, 1)
-	f.wait(3 * time.Second)
+	f.advance(3 * time.Second)
 
 	everywhere := func(r *config.Replica, version uint64) bool {
 		r.Watch(f.now)
@@ -381,7 +378,7 @@
 			f.step()
 		}
 		c.Assert(took <= time.Second, qt.IsTrue, qt.Commentf("%s knew after %v", vm.Name, took))
-		f.wait(3 * time.Second)
+		f.advance(3 * time.Second)
 	}
 
 	centre := map[baobabstep.VMID]string{}
@@ -390,18 +387,18 @@
 	}
 	f.cut = func(from, to baobabstep.VMID) bool { return (centre[from] == "c") != (centre[to] == "c") }
 	mustAccept(c, s, queueChange("cut", 4, 4, -1, 9))
-	f.wait(5 * time.Second)
+	f.advance(5 * time.Second)
 	c.Assert(f.replicas[f.vms[0].ID].Current().Version, qt.Equals, uint64(2+len(f.vms)))
 	c.Assert(everywhere(f.replicas[f.vms[0].ID], uint64(2+len(f.vms))), qt.IsFalse)
 	f.cut = nil
-	f.wait(5 * time.Second)
+	f.advance(5 * time.Second)
 	c.Assert(everywhere(f.replicas[f.vms[0].ID], uint64(2+len(f.vms))), qt.IsTrue)
 }
 
-// TestQuarantineLifted: an address left a service and shall serve another. While
-// one VM is cut off with the old version the address must stay in quarantine,
-// since that VM may send the former service's packets there; once every VM has
-// the new version exactly one VM lifts it, and the address can be used again.
+// TestQuarantineLifted guards against lifting the quarantine too early or never.
+// While one VM is cut off with the old version, it may send the former service's
+// packets to the removed address, which must stay in quarantine. Once every VM has
+// the new version, exactly one VM lifts it.
 func TestQuarantineLifted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -409,10 +406,10 @@
 	mustAccept(c, s, firstChange(3, 4))
 	f := newFleet(2, 3, s)
 	assertInForce(c, f, 6*time.Second, 1)
-	f.wait(3 * time.Second)
+	f.advance(3 * time.Second)
 	lost := f.vms[4].ID
 	f.cut = func(from, to baobabstep.VMID) bool { return from == lost || to == lost }
-	mustAccept(c, s, edited(config.ObjectAccount, accountName(1), testAccount(1, 4), testAccount(1, 3)))
+	mustAccept(c, s, editChange(config.ObjectAccount, accountName(1), testAccount(1, 4), testAccount(1, 3)))
 	liftable := func() (all []uint64) {
 		for _, vm := range f.vms {
 			if v := f.replicas[vm.ID].Liftable(f.now); v > 0 {
@@ -421,10 +418,10 @@
 		}
 		return all
 	}
-	f.wait(20 * time.Second)
+	f.advance(20 * time.Second)
 	c.Assert(liftable(), qt.HasLen, 0)
 	f.cut = nil
-	f.wait(5 * time.Second)
+	f.advance(5 * time.Second)
 	c.Assert(liftable(), qt.DeepEquals, []uint64{2})
 	lift := config.Change{ID: "lift", Operator: "vm", Reason: "in force everywhere", Action: "quarantine lift", Lift: 2}
 	mustAccept(c, s, lift)
--- a/core/config/template.go
+++ b/core/config/template.go
@@ -8,14 +8,14 @@
 
 // setting is one field of a Shape.
 type setting struct {
-	name     string
-	typ      Type
-	raw      json.RawMessage
-	required bool
-	standard json.RawMessage
+	name         string
+	typ          Type
+	raw          json.RawMessage
+	required     bool
+	defaultValue json.RawMessage
 }
 
-// settings lists the fields of the shape with their types and standard values.
+// settings lists the fields of the shape with their types and default values.
 func (s *Shape) settings() []setting {
 	std := func(s string) json.RawMessage { return json.RawMessage(s) }
 	return []setting{
@@ -54,11 +54,11 @@
 	return nil
 }
 
-// Check validates the template by itself.
+// Check validates the template without the accounts that use it.
 func (t *Template) Check() error {
 	var p Problems
 	t.check(&p)
-	return p.err("config.check_template")
+	return p.toError("config.check_template")
 }
 
 func (t *Template) check(p *Problems) {
@@ -82,7 +82,7 @@
 		seen[q.Name] = true
 		q.check(p, path+".parameters."+q.Name)
 	}
-	t.checkShape(p, path+".service")
+	t.checkSettings(p, path+".service")
 }
 
 func (p *Parameter) check(problems *Problems, path string) {
@@ -97,7 +97,7 @@
 		if b.raw == nil {
 			continue
 		}
-		if _, allowed := p.bound(b.raw); allowed != "" {
+		if _, allowed := p.parseBound(b.raw); allowed != "" {
 			problems.add(path+"."+b.name, string(b.raw), "%s", allowed)
 		}
 	}
@@ -107,40 +107,40 @@
 	if p.Default == nil {
 		return
 	}
-	if allowed := p.refuse(p.Default); allowed != "" {
+	if allowed := p.checkValue(p.Default); allowed != "" {
 		problems.add(path+".default", string(p.Default), "%s", allowed)
 	}
 }
 
-func (t *Template) checkShape(p *Problems, path string) {
+func (t *Template) checkSettings(p *Problems, path string) {
 	for _, s := range t.Service.settings() {
-		at := path + "." + s.name
+		settingPath := path + "." + s.name
 		name, isParameter := parameterName(s.raw)
 		switch {
 		case s.raw == nil && s.required:
-			p.add(at, "nothing", "a literal or a parameter as \"$name\"")
+			p.add(settingPath, "nothing", "a literal or a parameter as \"$name\"")
 		case s.raw == nil:
 		case isParameter:
 			q := t.parameter(name)
 			if q == nil {
-				p.add(at, string(s.raw), "the name of a declared parameter")
+				p.add(settingPath, string(s.raw), "the name of a declared parameter")
 			} else if q.Type != s.typ {
-				p.add(at, fmt.Sprintf("%s of type %v", s.raw, q.Type), "a parameter of type %v", s.typ)
+				p.add(settingPath, fmt.Sprintf("%s of type %v", s.raw, q.Type), "a parameter of type %v", s.typ)
 			}
 		default:
 			if _, allowed := parseValue(s.typ, s.raw); allowed != "" {
-				p.add(at, string(s.raw), "%s", allowed)
+				p.add(settingPath, string(s.raw), "%s", allowed)
 			}
 		}
 	}
 }
 
-// CheckTemplateChange says whether a template may replace old while accounts
-// use it. Allowed are: new parameters with a default, wider ranges, other
-// texts and defaults. Refused are: a parameter that changes its type, one that
-// is gone though an account sets it, a required one that an account lacks, and
-// a range that leaves out a value in use. A change of the parameters needs the
-// next schema version, so that two edits of one template cannot pass for one.
+// CheckTemplateChange checks whether changed may replace old while accounts use
+// it. New parameters with a default, wider ranges, and changed docs and defaults
+// are allowed. It rejects a changed parameter type, the removal of a parameter
+// that an account sets, a required parameter that an account lacks, and a range
+// that excludes a value in use. A change of the parameters must increment the
+// schema version, so that two edits of one template are distinguishable.
 func CheckTemplateChange(old, changed *Template, accounts []*Account) error {
 	var p Problems
 	path := "templates." + changed.Name
@@ -148,10 +148,10 @@
 		p.add(path+".schema_version", changed.SchemaVersion, "%d, since the parameters change", old.SchemaVersion+1)
 	}
 	for i := range old.Parameters {
-		was := &old.Parameters[i]
-		now := changed.parameter(was.Name)
-		if now != nil && now.Type != was.Type {
-			p.add(path+".parameters."+was.Name+".type", now.Type, "%v; add a parameter of another name instead", was.Type)
+		before := &old.Parameters[i]
+		after := changed.parameter(before.Name)
+		if after != nil && after.Type != before.Type {
+			p.add(path+".parameters."+before.Name+".type", after.Type, "%v; add a parameter of another name instead", before.Type)
 		}
 	}
 	for _, a := range accounts {
@@ -161,10 +161,11 @@
 			}
 		}
 	}
-	return p.err("config.check_template_change")
+	return p.toError("config.check_template_change")
 }
 
-// checkValues checks an account's values by themselves.
+// checkValues checks the values of one service of an account against the
+// template's parameters.
 func (t *Template) checkValues(p *Problems, path string, s *AccountService) {
 	for name, raw := range s.Values {
 		q := t.parameter(name)
@@ -172,7 +173,7 @@
 			p.add(path+".values."+name, string(raw), "a parameter of template %s", t.Name)
 			continue
 		}
-		if allowed := q.refuse(raw); allowed != "" {
+		if allowed := q.checkValue(raw); allowed != "" {
 			p.add(path+".values."+name, string(raw), "%s", allowed)
 		}
 	}
--- a/core/config/trail.go
+++ b/core/config/trail.go
@@ -16,41 +16,40 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Anchor is a place in the trail that is known to be right: the hash of the
-// entry with the given sequence number. The zero value stands before the first
-// entry.
+// Anchor is a trusted position in the audit trail: the hash of the entry with the
+// given sequence number. The zero value is the position before the first entry.
 type Anchor struct {
 	Sequence uint64 `json:"sequence"`
 	Hash     string `json:"hash"`
 }
 
-// VerifyTrail checks that entries follow start without a gap, that none was
-// changed, and that they end at end. It returns CodeAuditBroken with the first
-// fault, which is a changed, a missing or a reordered entry.
+// VerifyTrail checks that entries form an unmodified hash chain from start to end.
+// It returns CodeAuditBroken for the first changed, missing or reordered entry.
 func VerifyTrail(start Anchor, entries []baobabstep.AuditEntry, end Anchor) error {
-	at := start
+	position := start
 	for i := range entries {
 		e := &entries[i]
 		switch {
-		case e.Sequence != at.Sequence+1:
-			return broken("entry %d follows entry %d: one is missing or they were reordered", e.Sequence, at.Sequence)
+		case e.Sequence != position.Sequence+1:
+			return auditBroken("entry %d follows entry %d: one is missing or they were reordered", e.Sequence, position.Sequence)
 		case EntryHash(*e) != e.Hash:
-			return broken("entry %d was changed: its hash is %s, the recorded one %s", e.Sequence, short(EntryHash(*e)), short(e.Hash))
-		case e.PreviousHash != at.Hash:
-			return broken("entry %d names %s as its predecessor, which is %s: an entry before it was replaced", e.Sequence, short(e.PreviousHash), short(at.Hash))
+			return auditBroken("entry %d was changed: its hash is %s, the recorded one %s", e.Sequence, abbreviate(EntryHash(*e)), abbreviate(e.Hash))
+		case e.PreviousHash != position.Hash:
+			return auditBroken("entry %d names %s as its predecessor, which is %s: an entry before it was replaced", e.Sequence, abbreviate(e.PreviousHash), abbreviate(position.Hash))
 		}
-		at = Anchor{e.Sequence, e.Hash}
+		position = Anchor{e.Sequence, e.Hash}
 	}
-	if at != end {
-		return broken("the trail ends with entry %d %s, the version in force with entry %d %s", at.Sequence, short(at.Hash), end.Sequence, short(end.Hash))
+	if position != end {
+		return auditBroken("the trail ends with entry %d (hash %s), the version in force with entry %d (hash %s)", position.Sequence, abbreviate(position.Hash), end.Sequence, abbreviate(end.Hash))
 	}
 	return nil
 }
 
-const shortHash = 12
+// shownHashLength is the number of hexadecimal digits of a hash in errors.
+const shownHashLength = 12
 
-func short(hash string) string { return hash[:min(len(hash), shortHash)] }
+func abbreviate(hash string) string { return hash[:min(len(hash), shownHashLength)] }
 
-func broken(format string, args ...any) error {
+func auditBroken(format string, args ...any) error {
 	return baobabstep.Errorf(baobabstep.CodeAuditBroken, "audit.verify", "%s", fmt.Sprintf(format, args...))
 }
--- a/core/config/transfer.go
+++ b/core/config/transfer.go
@@ -8,67 +8,67 @@
 	"baobabstep"
 )
 
-// fetch is the state of getting the next version from peers. What arrived is
-// kept by content, so going over to a yet newer version loses little.
+// fetch is the state of fetching the next version from peers. Received objects are
+// kept by digest, so that they are reused if a newer version appears meanwhile.
 type fetch struct {
 	version  uint64
 	manifest Digest
-	partial  map[Digest]*partial
-	// asked says which peer an object was asked of, and when.
-	asked map[Digest]request
-	// refused are manifests that do not build; they are not tried again.
-	refused []Digest
+	partial  map[Digest]*partialObject
+	// requested holds, per object, which peer it was requested from and when.
+	requested map[Digest]objectRequest
+	// rejected lists manifests that cannot be built and are not fetched again.
+	rejected []Digest
 }
 
-// partial is an object of which some bytes have arrived, in order.
-type partial struct {
+// partialObject is an object of which the first len(data) bytes have arrived.
+type partialObject struct {
 	data  []byte
 	total int
 }
 
-// request is one object asked of one peer.
-type request struct {
+// objectRequest is a request of one object from one peer.
+type objectRequest struct {
 	from baobabstep.VMID
 	at   time.Time
 }
 
-// stealAfter is when an object may be asked of another peer that is idle. A
-// peer whose budget is used up answers late, and one such answer, if it holds
-// pages, would keep all other peers idle.
-const stealAfter = 300 * time.Millisecond
+// reassignAfter is the time after which an object may be requested from another,
+// idle peer. A peer with a spent budget answers late, and waiting for pages from
+// it would keep all other peers idle.
+const reassignAfter = 300 * time.Millisecond
 
-// maxPartial bounds the objects that have arrived in part.
-const maxPartial = 256
+// maxPartialObjects limits the partially received objects.
+const maxPartialObjects = 256
 
-// maxRefused bounds the manifests remembered as refused.
-const maxRefused = 16
+// maxRejected limits the rejected manifests remembered.
+const maxRejected = 16
 
 func (f *fetch) init() {
 	f.version, f.manifest = 0, Digest{}
-	f.partial = map[Digest]*partial{}
-	f.asked = map[Digest]request{}
+	f.partial = map[Digest]*partialObject{}
+	f.requested = map[Digest]objectRequest{}
 }
 
-func (f *fetch) refuse(manifest Digest) {
-	f.refused = append(f.refused, manifest)
-	if len(f.refused) > maxRefused {
-		f.refused = slices.Delete(f.refused, 0, 1)
+func (f *fetch) rejectManifest(manifest Digest) {
+	f.rejected = append(f.rejected, manifest)
+	if len(f.rejected) > maxRejected {
+		f.rejected = slices.Delete(f.rejected, 0, 1)
 	}
 }
 
-// release makes what was asked of a peer free to be asked of another.
-func (f *fetch) release(id baobabstep.VMID) {
-	for d, q := range f.asked {
+// releaseRequests allows objects requested from a peer to be requested from another.
+func (f *fetch) releaseRequests(id baobabstep.VMID) {
+	for d, q := range f.requested {
 		if q.from == id {
-			delete(f.asked, d)
+			delete(f.requested, d)
 		}
 	}
 }
 
-// pursue goes after the newest version that any peer has: it asks its sources
-// for what is missing, one request at a time each.
-func (r *Replica) pursue(now time.Time) []Out {
-	version, manifest, sources := r.target(now)
+// fetchNewest adopts the newest version that any peer has, or requests its missing
+// objects from the sources, each of which has one request at a time.
+func (r *Replica) fetchNewest(now time.Time) []Out {
+	version, manifest, sources := r.chooseVersion(now)
 	if version == 0 {
 		return nil
 	}
@@ -78,22 +78,22 @@
 		return outs
 	}
 	for _, id := range sources {
-		if wants := r.nextWants(now, id, missing); len(wants) > 0 {
-			outs = append(outs, r.ask(now, id, wants))
+		if wants := r.choosePieces(now, id, missing); len(wants) > 0 {
+			outs = append(outs, r.requestPieces(now, id, wants))
 		}
 	}
 	return outs
 }
 
-// target chooses the version to go after and the peers to ask: those that have
-// the greatest version heard of, without those that stopped answering.
-func (r *Replica) target(now time.Time) (version uint64, manifest Digest, sources []baobabstep.VMID) {
-	mine := r.version()
-	if mine == 0 && !r.mayStart(now) {
+// chooseVersion returns the highest version heard and the peers to fetch it from:
+// those that have it, answer, and have no request pending.
+func (r *Replica) chooseVersion(now time.Time) (version uint64, manifest Digest, sources []baobabstep.VMID) {
+	own := r.version()
+	if own == 0 && !r.mayAdoptFirst(now) {
 		return 0, Digest{}, nil
 	}
 	for _, p := range r.peers {
-		if p.version > max(mine, version) && p.failed < maxFailed && !slices.Contains(r.fetch.refused, p.manifest) {
+		if p.version > max(own, version) && p.unanswered < maxUnanswered && !slices.Contains(r.fetch.rejected, p.manifest) {
 			version, manifest = p.version, p.manifest
 		}
 	}
@@ -101,36 +101,36 @@
 		return 0, Digest{}, nil
 	}
 	for id, p := range r.peers {
-		if p.version == version && p.manifest == manifest && p.failed < maxFailed && p.askedAt.IsZero() {
+		if p.version == version && p.manifest == manifest && p.unanswered < maxUnanswered && p.requestedAt.IsZero() {
 			sources = append(sources, id)
 		}
 	}
-	slices.SortFunc(sources, r.nearFirst)
+	slices.SortFunc(sources, r.compareDistance)
 	return version, manifest, sources[:min(len(sources), maxSources)]
 }
 
-// wantsPerRequest is about what one answer holds at the usual size of an
-// account; what does not fit has to be asked for again.
-const wantsPerRequest = 64
+// piecesPerRequest is about the number of accounts of usual size that fit into one
+// answer; what does not fit has to be requested again.
+const piecesPerRequest = 64
 
-// maxSources bounds the peers asked at the same time.
+// maxSources limits the peers asked in one call of fetchNewest.
 const maxSources = 16
 
-func (r *Replica) nearFirst(a, b baobabstep.VMID) int {
-	return cmp.Or(cmp.Compare(r.distance(a), r.distance(b)), cmp.Compare(mix(uint64(a), uint64(r.o.Self.ID)), mix(uint64(b), uint64(r.o.Self.ID))))
+func (r *Replica) compareDistance(a, b baobabstep.VMID) int {
+	return cmp.Or(cmp.Compare(r.distance(a), r.distance(b)), cmp.Compare(hash64(uint64(a), uint64(r.o.Self.ID)), hash64(uint64(b), uint64(r.o.Self.ID))))
 }
 
 func (r *Replica) distance(id baobabstep.VMID) int {
-	if r.fleet.centres[id] == r.o.Self.DataCentre {
+	if r.fleet.dataCentreOf[id] == r.o.Self.DataCentre {
 		return 0
 	}
 	return 1
 }
 
-// mayStart says whether a VM without a version may take one from peers. The
-// first peer heard may be one that was cut off for long; waiting for a few
-// others, for a moment, makes the first version applied the newest around.
-func (r *Replica) mayStart(now time.Time) bool {
+// mayAdoptFirst reports whether a VM without a version may adopt one from peers. The
+// first peer heard may have been cut off for long, so the VM waits until it has
+// heard startPeers or startWait has passed.
+func (r *Replica) mayAdoptFirst(now time.Time) bool {
 	heard := 0
 	for _, p := range r.peers {
 		if p.version > 0 {
@@ -140,29 +140,29 @@
 	return heard >= min(startPeers, len(r.fleet.others)) && heard > 0 || now.Sub(r.started) >= startWait
 }
 
-// nextWants chooses what to ask of one peer: objects that nobody was asked
-// for lately, and for one that has arrived in part, the part that follows.
-func (r *Replica) nextWants(now time.Time, id baobabstep.VMID, missing []Missing) []piece {
+// choosePieces returns what to request from one peer: objects that were not
+// requested recently, and of partially received ones only the rest.
+func (r *Replica) choosePieces(now time.Time, id baobabstep.VMID, missing []Missing) []piece {
 	var wants []piece
 	for _, m := range missing {
-		if q, ok := r.fetch.asked[m.Digest]; ok && now.Sub(q.at) < stealAfter {
+		if q, ok := r.fetch.requested[m.Digest]; ok && now.Sub(q.at) < reassignAfter {
 			continue
 		}
 		want := piece{Digest: m.Digest, Base: m.Base}
 		if p := r.fetch.partial[m.Digest]; p != nil {
 			want.Offset = len(p.data)
 		}
-		r.fetch.asked[m.Digest] = request{id, now}
+		r.fetch.requested[m.Digest] = objectRequest{id, now}
 		wants = append(wants, want)
-		if len(wants) == wantsPerRequest {
+		if len(wants) == piecesPerRequest {
 			break
 		}
 	}
 	return wants
 }
 
-func (r *Replica) ask(now time.Time, id baobabstep.VMID, wants []piece) Out {
-	m := r.header(now, messageWant)
+func (r *Replica) requestPieces(now time.Time, id baobabstep.VMID, wants []piece) Out {
+	m := r.newMessage(now, messageRequest)
 	m.From = m.Version
 	m.Version, m.Manifest = r.fetch.version, r.fetch.manifest
 	for _, w := range wants {
@@ -172,35 +172,35 @@
 			m.Want = append(m.Want, w)
 		}
 	}
-	r.peers[id].askedAt = now
-	return r.out(id, m)
+	r.peers[id].requestedAt = now
+	return r.outgoing(id, m)
 }
 
-// handleWant serves a request at once, or keeps it until the budget allows.
-func (r *Replica) handleWant(now time.Time, from baobabstep.VMID, m *message) []Out {
-	r.serving = slices.DeleteFunc(r.serving, func(p pendingWant) bool { return p.from == from })
-	if len(r.serving) >= maxServing {
+// handleRequest answers a request, or keeps it until there is send budget.
+func (r *Replica) handleRequest(now time.Time, from baobabstep.VMID, m *message) []Out {
+	r.pendingRequests = slices.DeleteFunc(r.pendingRequests, func(p pendingRequest) bool { return p.from == from })
+	if len(r.pendingRequests) >= maxPendingRequests {
 		return nil
 	}
-	r.serving = append(r.serving, pendingWant{from, m})
-	return r.serve(now)
+	r.pendingRequests = append(r.pendingRequests, pendingRequest{from, m})
+	return r.servePending(now)
 }
 
-func (r *Replica) serve(now time.Time) []Out {
+func (r *Replica) servePending(now time.Time) []Out {
 	var outs []Out
-	for len(r.serving) > 0 && r.bucket.ready(now) {
-		next := r.serving[0]
-		r.serving = slices.Delete(r.serving, 0, 1)
-		outs = append(outs, r.out(next.from, r.answer(now, next.m)))
+	for len(r.pendingRequests) > 0 && r.bucket.refill(now) {
+		next := r.pendingRequests[0]
+		r.pendingRequests = slices.Delete(r.pendingRequests, 0, 1)
+		outs = append(outs, r.outgoing(next.from, r.buildAnswer(now, next.m)))
 	}
 	return outs
 }
 
-// answer makes the messagePieces for a request: the pieces asked for and, if
-// the request is for the manifest in force here, what changed since the
-// version of the one who asks.
-func (r *Replica) answer(now time.Time, m *message) *message {
-	a := r.header(now, messagePieces)
+// buildAnswer returns the messagePieces for a request: the requested pieces and, if
+// only the manifest in force is requested, the objects that changed since the
+// requester's version.
+func (r *Replica) buildAnswer(now time.Time, m *message) *message {
+	a := r.newMessage(now, messagePieces)
 	wants := slices.Clone(m.Want)
 	for _, d := range m.Whole {
 		wants = append(wants, piece{Digest: d})
@@ -211,11 +211,11 @@
 	var data []byte
 	for _, w := range wants {
 		b, ok := r.objects[w.Digest]
-		room := maxPieceBytes - len(data)
-		if !ok || w.Offset < 0 || w.Offset > len(b) || room == 0 || len(a.Pieces) == maxWants {
+		remaining := maxPieceBytes - len(data)
+		if !ok || w.Offset < 0 || w.Offset > len(b) || remaining == 0 || len(a.Pieces) == maxPiecesPerMessage {
 			continue
 		}
-		p := piece{Digest: w.Digest, Offset: w.Offset, Length: min(room, len(b)-w.Offset), Total: len(b)}
+		p := piece{Digest: w.Digest, Offset: w.Offset, Length: min(remaining, len(b)-w.Offset), Total: len(b)}
 		if base, ok := baseRange(w.Base, p, r.lookup(nil)); ok {
 			a.Bases = append(a.Bases, base)
 		}
@@ -230,15 +230,16 @@
 	return a
 }
 
-// changedSince lists the objects that differ between an earlier version and
-// the one in force, without the manifest; nothing if that is not remembered.
+// changedSince lists the objects, except the manifest, that differ between an
+// earlier version and the one in force. It returns nil if there is no delta from
+// that version.
 func (r *Replica) changedSince(from uint64, manifest Digest) []piece {
-	start := slices.IndexFunc(r.steps, func(s step) bool { return s.from == from })
+	start := slices.IndexFunc(r.deltas, func(s versionDelta) bool { return s.from == from })
 	if start < 0 {
 		return nil
 	}
 	bases := map[Digest]Digest{}
-	for _, s := range r.steps[start:] {
+	for _, s := range r.deltas[start:] {
 		for _, p := range s.pieces {
 			base := p.Base
 			if earlier, ok := bases[base]; ok {
@@ -254,21 +255,21 @@
 		out = append(out, piece{Digest: d, Base: base})
 	}
 	slices.SortFunc(out, func(a, b piece) int { return slices.Compare(a.Digest[:], b.Digest[:]) })
-	return out[:min(len(out), maxWants-1)]
+	return out[:min(len(out), maxPiecesPerMessage-1)]
 }
 
-// handlePieces takes pieces, verifies each object that became whole, and goes
-// on fetching.
+// handlePieces stores the received pieces, verifies each object that is complete,
+// and continues fetching.
 func (r *Replica) handlePieces(now time.Time, from baobabstep.VMID, p *peer, m *message) []Out {
-	p.askedAt = time.Time{}
-	r.fetch.release(from)
+	p.requestedAt = time.Time{}
+	r.fetch.releaseRequests(from)
 	if m.Version > p.version {
 		p.version, p.manifest = m.Version, m.Manifest
 	}
 	dict, ok := dictionary(m.Bases, r.lookup(nil))
 	size := 0
-	for _, one := range m.Pieces {
-		size += one.Length
+	for _, received := range m.Pieces {
+		size += received.Length
 	}
 	data, err := unpack(m.Data, dict, size)
 	if !ok || err != nil {
@@ -276,48 +277,48 @@
 		return nil
 	}
 	if r.fetch.version == 0 {
-		// Nothing is being fetched: a late or doubled answer.
+		// Nothing is being fetched: this is a late or duplicated answer.
 		return nil
 	}
 	if len(m.Pieces) == 0 {
-		// The peer no longer has what it was asked for; its next word
-		// tells what it has now.
+		// The peer no longer has the requested objects; its next message
+		// tells which version it has.
 		p.version, p.manifest = 0, Digest{}
 	}
-	for _, one := range m.Pieces {
-		r.takePiece(one, data[:one.Length])
-		data = data[one.Length:]
+	for _, received := range m.Pieces {
+		r.storePiece(received, data[:received.Length])
+		data = data[received.Length:]
 	}
-	return r.pursue(now)
+	return r.fetchNewest(now)
 }
 
-func (r *Replica) takePiece(one piece, data []byte) {
-	if one.Digest.IsZero() {
+func (r *Replica) storePiece(received piece, data []byte) {
+	if received.Digest.IsZero() {
 		r.objects[MakeDigest(data)] = slices.Clone(data)
 		return
 	}
-	if _, ok := r.objects[one.Digest]; ok {
+	if _, ok := r.objects[received.Digest]; ok {
 		return
 	}
-	p := r.fetch.partial[one.Digest]
+	p := r.fetch.partial[received.Digest]
 	if p == nil {
-		if len(r.fetch.partial) >= maxPartial {
+		if len(r.fetch.partial) >= maxPartialObjects {
 			return
 		}
-		p = &partial{total: one.Total}
-		r.fetch.partial[one.Digest] = p
+		p = &partialObject{total: received.Total}
+		r.fetch.partial[received.Digest] = p
 	}
-	if one.Offset != len(p.data) || one.Total != p.total {
+	if received.Offset != len(p.data) || received.Total != p.total {
 		return
 	}
 	p.data = append(p.data, data...)
 	if len(p.data) < p.total {
 		return
 	}
-	delete(r.fetch.partial, one.Digest)
-	if MakeDigest(p.data) != one.Digest {
+	delete(r.fetch.partial, received.Digest)
+	if MakeDigest(p.data) != received.Digest {
 		r.counts.DigestErrors++
 		return
 	}
-	r.objects[one.Digest] = p.data
+	r.objects[received.Digest] = p.data
 }
--- a/core/config/transfer_test.go
+++ b/core/config/transfer_test.go
@@ -7,24 +7,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPieceChecked: a peer sends another object's bytes under a name, whole or
-// in pieces. Taken as they are they would be rendered and callers sent to wrong
-// addresses; they must not count as that object, and the right bytes, when they
-// come, must.
+// TestPieceChecked guards against adopting wrong bytes that a peer sends for a
+// digest, whole or in pieces. They must not be stored under that digest, and the
+// right bytes must be accepted afterwards.
 func TestPieceChecked(t *testing.T) {
 	right, wrong := []byte("0123456789"), []byte("0123456780")
 	d := MakeDigest(right)
 	for name, send := range map[string]func(r *Replica, data []byte){
 		"in pieces": func(r *Replica, data []byte) {
-			r.takePiece(piece{Digest: d, Length: 5, Total: 10}, data[:5])
-			r.takePiece(piece{Digest: d, Offset: 5, Length: 5, Total: 10}, data[5:])
+			r.storePiece(piece{Digest: d, Length: 5, Total: 10}, data[:5])
+			r.storePiece(piece{Digest: d, Offset: 5, Length: 5, Total: 10}, data[5:])
 		},
-		"whole": func(r *Replica, data []byte) { r.takePiece(piece{Length: 10}, data) },
+		"whole": func(r *Replica, data []byte) { r.storePiece(piece{Length: 10}, data) },
 		"pieces doubled": func(r *Replica, data []byte) {
-			r.takePiece(piece{Digest: d, Length: 5, Total: 10}, data[:5])
-			r.takePiece(piece{Digest: d, Length: 5, Total: 10}, data[:5])
-			r.takePiece(piece{Digest: d, Offset: 5, Length: 5, Total: 10}, data[5:])
-			r.takePiece(piece{Digest: d, Offset: 5, Length: 5, Total: 10}, data[5:])
+			r.storePiece(piece{Digest: d, Length: 5, Total: 10}, data[:5])
+			r.storePiece(piece{Digest: d, Length: 5, Total: 10}, data[:5])
+			r.storePiece(piece{Digest: d, Offset: 5, Length: 5, Total: 10}, data[5:])
+			r.storePiece(piece{Digest: d, Offset: 5, Length: 5, Total: 10}, data[5:])
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/core/config/tree.go
+++ b/core/config/tree.go
@@ -13,16 +13,16 @@
 	"baobabstep"
 )
 
-// Digest is the SHA-256 of an object's bytes, and its name.
+// Digest is the SHA-256 of an object's bytes. It names the object.
 type Digest [32]byte
 
-// MakeDigest returns the name of an object.
+// MakeDigest returns the digest of an object's bytes.
 func MakeDigest(object []byte) Digest { return sha256.Sum256(object) }
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// IsZero tells that the digest names nothing.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
 // MarshalText returns the digest in hexadecimal.
@@ -52,24 +52,24 @@
 // DraftKey returns the key of an operator's draft of an account.
 func DraftKey(account, operator string) string { return DraftPrefix + account + "/" + operator }
 
-// MaxChangeIDs bounds the identifiers of recent changes in the head. A lost
-// answer is read back within seconds; this many changes take minutes.
+// MaxChangeIDs limits the identifiers of recent changes in the head. A head is read
+// back within seconds of a lost answer; this many changes take minutes.
 const MaxChangeIDs = 64
 
-// Head is the one value that is overwritten. It is written by compare-and-swap
-// only, so all changes form one sequence.
+// Head refers to the current version. It is the only value that is overwritten,
+// always by compare-and-swap, so all changes form one sequence.
 type Head struct {
 	Format   int    `json:"format"`
 	Version  uint64 `json:"version"`
 	Manifest Digest `json:"manifest"`
 	// Changes lists the identifiers of the latest changes, oldest first.
 	Changes []ChangeID `json:"changes"`
-	// Collections grows when garbage is about to be removed. It makes any
-	// accept under way start again; see [Garbage].
+	// Collections is incremented before garbage is removed, which restarts
+	// concurrent accepts; see [Garbage].
 	Collections uint64 `json:"collections"`
 }
 
-// next returns the head of a version that changes led to.
+// next returns the head of version s, with changes appended to the latest ones.
 func (h *Head) next(s *Set, changes ...ChangeID) Head {
 	all := append(slices.Clone(h.Changes), changes...)
 	return Head{
@@ -78,13 +78,13 @@
 	}
 }
 
-// ChangeID says which version a change became.
+// ChangeID maps a change to the version that it created.
 type ChangeID struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 }
 
-// find returns the version that a change became.
+// find returns the version that a change created, or false.
 func (h *Head) find(id string) (uint64, bool) {
 	for _, c := range h.Changes {
 		if c.ID == id {
@@ -94,8 +94,8 @@
 	return 0, false
 }
 
-// Pages is the number of pages that references are dealt out to. A change
-// rewrites the manifest and a page; 64 keeps both near 10 kB at 6,200 accounts.
+// Pages is the number of pages that references are hashed to. A change rewrites
+// the manifest and a page; 64 keeps both near 10 kB at 6,200 accounts.
 const Pages = 64
 
 // Manifest is the root of one version.
@@ -104,17 +104,17 @@
 	Version    uint64    `json:"version"`
 	FlowSecret []byte    `json:"flow_secret"`
 	Pages      []PageRef `json:"pages"`
-	// Quarantine names the object with the list, if there is one.
+	// Quarantine is the digest of the list of [QuarantineItem], zero if empty.
 	Quarantine Digest `json:"quarantine"`
-	// Previous names the manifest of the version before, which holds the
-	// audit entry before Entry until it is collected.
+	// Previous is the digest of the previous version's manifest, which holds
+	// the audit entry before Entry until it is collected.
 	Previous Digest `json:"previous"`
-	// Entry is the audit entry of the change that made the version. It is
-	// part of the version so that no crash can separate the two.
+	// Entry is the audit entry of the change that created the version. It is
+	// part of the manifest so that both are committed atomically.
 	Entry baobabstep.AuditEntry `json:"entry"`
 }
 
-// PageRef names one page that is not empty.
+// PageRef refers to a non-empty page.
 type PageRef struct {
 	Number int    `json:"number"`
 	Digest Digest `json:"digest"`
@@ -125,16 +125,16 @@
 	Refs []Ref `json:"refs"`
 }
 
-// Ref names one document.
+// Ref refers to one document.
 type Ref struct {
 	Kind   ObjectKind `json:"kind"`
 	Name   string     `json:"name"`
 	Digest Digest     `json:"digest"`
-	// Version is the version that last changed the document.
+	// Version is the version in which the document last changed.
 	Version uint64 `json:"version"`
 }
 
-// refKey identifies a document over versions.
+// refKey identifies a document across versions.
 type refKey struct {
 	kind ObjectKind
 	name string
@@ -146,20 +146,20 @@
 	return int(xxhash.Sum64String(k.kind.String()+"/"+k.name) % Pages)
 }
 
-// QuarantineItem is one address that recently left a service.
+// QuarantineItem is an address that version Until removed from a service.
 type QuarantineItem struct {
 	Address string               `json:"address"`
 	Service baobabstep.ServiceID `json:"service"`
 	Until   uint64               `json:"until"`
-	// Since bounds the life of the item; see nextQuarantine.
+	// Since limits the age of the item; see nextQuarantine.
 	Since time.Time `json:"since"`
 }
 
 // Objects looks up the bytes of an object.
 type Objects func(Digest) ([]byte, bool)
 
-// Missing is an object that a version needs and that is not here. Base is the
-// object that stood in its place before, or zero.
+// Missing is an object of a version that is not available locally. Base is the
+// object that it replaces, or zero.
 type Missing struct {
 	Digest Digest
 	Base   Digest
@@ -196,7 +196,7 @@
 
 func (m *Manifest) check() error {
 	if m.Format != Format || len(m.FlowSecret) != flowSecretSize {
-		return baobabstep.Errorf(baobabstep.CodeInvalid, "config.manifest", "got format %d and a secret of %d bytes, want %d and %d",
+		return baobabstep.Errorf(baobabstep.CodeInvalid, "config.manifest", "got format %d and a flow secret of %d bytes, want %d and %d",
 			m.Format, len(m.FlowSecret), Format, flowSecretSize)
 	}
 	return nil
