--- a/core/config/value.go
+++ b/core/config/value.go
@@ -12,7 +12,7 @@
 	"baobabstep"
 )
 
-// value is a parameter's value after decoding; the field of its type is set.
+// value is a decoded parameter value; only the field of its type is set.
 type value struct {
 	integer  int
 	number   float64
@@ -25,52 +25,52 @@
 	classes  []baobabstep.ClassRule
 }
 
-// parseValue decodes raw by its type. The returned text is empty or says what
-// is allowed.
+// parseValue decodes raw as type t. If raw is invalid, allowed describes the
+// permitted values; otherwise it is empty.
 func parseValue(t Type, raw json.RawMessage) (v value, allowed string) {
 	switch t {
 	case TypeInteger:
-		if decodeAny(raw, &v.integer) != nil {
+		if decodeStrict(raw, &v.integer) != nil {
 			return v, "an integer"
 		}
 	case TypeNumber:
-		if decodeAny(raw, &v.number) != nil || math.IsNaN(v.number) {
+		if decodeStrict(raw, &v.number) != nil || math.IsNaN(v.number) {
 			return v, "a number"
 		}
 	case TypeDuration:
 		var err error
-		if decodeAny(raw, &v.text) == nil {
+		if decodeStrict(raw, &v.text) == nil {
 			v.duration, err = time.ParseDuration(v.text)
 		}
 		if v.text == "" || err != nil {
 			return v, `a duration as "250ms" or "2s"`
 		}
 	case TypeBoolean:
-		if decodeAny(raw, &v.boolean) != nil {
+		if decodeStrict(raw, &v.boolean) != nil {
 			return v, "true or false"
 		}
 	case TypeString:
-		if decodeAny(raw, &v.text) != nil {
+		if decodeStrict(raw, &v.text) != nil {
 			return v, "a string"
 		}
 	case TypeAddress:
 		var err error
-		if err = decodeAny(raw, &v.text); err == nil {
+		if err = decodeStrict(raw, &v.text); err == nil {
 			v.address, err = parseAddress(v.text)
 		}
 		if err != nil {
 			return v, addressRule
 		}
 	case TypeStringList:
-		if decodeAny(raw, &v.list) != nil {
+		if decodeStrict(raw, &v.list) != nil {
 			return v, "a list of strings"
 		}
 	case TypeTargetList:
-		if err := decodeAny(raw, &v.targets); err != nil {
+		if err := decodeStrict(raw, &v.targets); err != nil {
 			return v, fmt.Sprintf("a list of targets with name, address, data_centre and optionally slots, connections, drained, evacuated (%v)", err)
 		}
 	case TypeClassRuleList:
-		return parseClasses(raw)
+		return parseClassRules(raw)
 	default:
 		return v, "a known type"
 	}
@@ -87,10 +87,10 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), err
 }
 
-func parseClasses(raw json.RawMessage) (v value, allowed string) {
+func parseClassRules(raw json.RawMessage) (v value, allowed string) {
 	const rule = `a list of {"callers": "10.1.0.0/16", "class": "urgent" or "ordinary"}`
 	var rules []ClassRuleValue
-	if decodeAny(raw, &rules) != nil {
+	if decodeStrict(raw, &rules) != nil {
 		return v, rule
 	}
 	for _, r := range rules {
@@ -98,22 +98,22 @@
 		if err != nil {
 			return v, rule
 		}
-		one := baobabstep.ClassRule{Callers: prefix.Masked()}
+		classRule := baobabstep.ClassRule{Callers: prefix.Masked()}
 		switch r.Class {
 		case "urgent":
-			one.Class = baobabstep.ClassUrgent
+			classRule.Class = baobabstep.ClassUrgent
 		case "ordinary":
-			one.Class = baobabstep.ClassOrdinary
+			classRule.Class = baobabstep.ClassOrdinary
 		default:
 			return v, rule
 		}
-		v.classes = append(v.classes, one)
+		v.classes = append(v.classes, classRule)
 	}
 	return v, ""
 }
 
-// size is what Min and Max bound.
-func (v value) size(t Type) float64 {
+// boundedSize returns the quantity that Min and Max bound.
+func (v value) boundedSize(t Type) float64 {
 	switch t {
 	case TypeInteger:
 		return float64(v.integer)
@@ -133,8 +133,9 @@
 	return 0
 }
 
-// bound decodes Min or Max; lists and strings are bounded by their length.
-func (p *Parameter) bound(raw json.RawMessage) (float64, string) {
+// parseBound decodes Min or Max; lists and strings are bounded by their length. The
+// text is empty or describes what is allowed.
+func (p *Parameter) parseBound(raw json.RawMessage) (float64, string) {
 	t := p.Type
 	switch t {
 	case TypeString, TypeStringList, TypeTargetList, TypeClassRuleList:
@@ -143,17 +144,17 @@
 		return 0, "no bound for this type"
 	}
 	v, allowed := parseValue(t, raw)
-	return v.size(t), allowed
+	return v.boundedSize(t), allowed
 }
 
-// refuse checks a value of the parameter. It returns what is allowed instead,
-// or nothing if the value is.
-func (p *Parameter) refuse(raw json.RawMessage) (allowed string) {
+// checkValue returns "" if raw is a permitted value of the parameter, and otherwise
+// a description of the permitted values.
+func (p *Parameter) checkValue(raw json.RawMessage) (allowed string) {
 	v, allowed := parseValue(p.Type, raw)
 	if allowed != "" {
 		return allowed
 	}
-	if p.outside(v) {
+	if p.outOfRange(v) {
 		return p.rangeText()
 	}
 	if len(p.Allowed) == 0 {
@@ -171,15 +172,15 @@
 	return ""
 }
 
-func (p *Parameter) outside(v value) bool {
-	size := v.size(p.Type)
+func (p *Parameter) outOfRange(v value) bool {
+	size := v.boundedSize(p.Type)
 	if p.Min != nil {
-		if low, bad := p.bound(p.Min); bad == "" && size < low {
+		if low, invalid := p.parseBound(p.Min); invalid == "" && size < low {
 			return true
 		}
 	}
 	if p.Max != nil {
-		if high, bad := p.bound(p.Max); bad == "" && size > high {
+		if high, invalid := p.parseBound(p.Max); invalid == "" && size > high {
 			return true
 		}
 	}
