--- a/core/config/accept.go
+++ b/core/config/accept.go
@@ -58,7 +58,7 @@
 type AcceptOptions struct {
 	// Objects looks up local objects, which are not read from the platform;
 	// Current is the version in force on this VM, or nil.
-	Objects Objects
+	Objects ObjectLookup
 	Current *Set
 	// Builder, if set, must not be used by the caller afterwards. One that
 	// built the current version saves decoding and rendering it.
@@ -90,7 +90,7 @@
 	fetched          map[Digest][]byte
 	// baseSet is the version that head refers to, nil if there is none.
 	baseSet *Set
-	missing []Missing
+	missing []MissingObject
 
 	newHead Head
 	writes  []Digest
--- a/core/config/builder.go
+++ b/core/config/builder.go
@@ -62,7 +62,7 @@
 // Build builds the version with the given manifest. If objects are missing it
 // returns those instead of a set, each with its base in previous, which may be
 // nil.
-func (b *Builder) Build(manifest Digest, objects Objects, previous *Set) (*Set, []Missing, error) {
+func (b *Builder) Build(manifest Digest, objects ObjectLookup, previous *Set) (*Set, []MissingObject, error) {
 	s := &Set{Digest: manifest, refs: map[refKey]Ref{}, pages: map[int]Digest{}}
 	missing, err := b.load(s, objects, previous)
 	if err != nil || len(missing) > 0 {
@@ -77,7 +77,7 @@
 }
 
 // decodeObject returns the decoded object, or false if it is missing.
-func decodeObject[T any](b *Builder, d Digest, objects Objects, get func(*decodedObject) **T) (*T, bool, error) {
+func decodeObject[T any](b *Builder, d Digest, objects ObjectLookup, get func(*decodedObject) **T) (*T, bool, error) {
 	e := b.objects[d]
 	if e != nil && *get(e) != nil {
 		return *get(e), true, nil
@@ -98,8 +98,8 @@
 	return v, true, nil
 }
 
-func (b *Builder) load(s *Set, objects Objects, previous *Set) (missing []Missing, err error) {
-	addMissing := func(d, base Digest) { missing = append(missing, Missing{d, base}) }
+func (b *Builder) load(s *Set, objects ObjectLookup, previous *Set) (missing []MissingObject, err error) {
+	addMissing := func(d, base Digest) { missing = append(missing, MissingObject{d, base}) }
 	if previous == nil {
 		previous = &Set{}
 	}
@@ -141,7 +141,7 @@
 	return missing, b.loadDocuments(s, objects, previous, addMissing)
 }
 
-func (b *Builder) loadQuarantine(s *Set, d Digest, objects Objects, addMissing func()) error {
+func (b *Builder) loadQuarantine(s *Set, d Digest, objects ObjectLookup, addMissing func()) error {
 	e := b.objects[d]
 	if e == nil {
 		raw, ok := objects(d)
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func (b *Builder) loadDocuments(s *Set, objects Objects, previous *Set, addMissing func(d, base Digest)) error {
+func (b *Builder) loadDocuments(s *Set, objects ObjectLookup, previous *Set, addMissing func(d, base Digest)) error {
 	s.accounts = make(map[string]*Account, len(s.refs))
 	s.templates = map[string]*Template{}
 	for k, r := range s.refs {
@@ -190,7 +190,7 @@
 }
 
 // template returns the decoded and checked template, or false if it is missing.
-func (b *Builder) template(d Digest, objects Objects) (*Template, bool, error) {
+func (b *Builder) template(d Digest, objects ObjectLookup) (*Template, bool, error) {
 	if t := b.templates[d]; t != nil {
 		return t, true, nil
 	}
@@ -321,8 +321,8 @@
 	return r, ok
 }
 
-// Users returns the number of accounts that use a template.
-func (s *Set) Users(template string) int {
+// AccountsUsing returns the number of accounts that use a template.
+func (s *Set) AccountsUsing(template string) int {
 	n := 0
 	for _, a := range s.accounts {
 		if slices.ContainsFunc(a.Services, func(one AccountService) bool { return one.Template == template }) {
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -27,7 +27,7 @@
 	DryRun bool `json:"dry_run"`
 	// Lift, instead of edits, ends the quarantine of addresses whose Until is
 	// not greater. VMs submit such changes automatically; see
-	// [Replica.Liftable].
+	// [Replica.LiftableVersion].
 	Lift uint64 `json:"lift"`
 }
 
--- a/core/config/danger.go
+++ b/core/config/danger.go
@@ -138,12 +138,12 @@
 	return out[max(0, len(out)-maxQuarantineItems):]
 }
 
-// Liftable returns the version up to which addresses may leave quarantine, or 0.
+// LiftableVersion returns the version up to which addresses may leave quarantine, or 0.
 // An address may leave once its version is known to be in force on every VM, or
 // after maxQuarantineAge. To save platform calls only one VM returns a version,
 // as far as the VMs' views agree. Two VMs that lift the same addresses do no
 // harm, since the second change has no effect.
-func (r *Replica) Liftable(now time.Time) uint64 {
+func (r *Replica) LiftableVersion(now time.Time) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current.Load()
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -23,10 +23,10 @@
 	Format int    `json:"format"`
 	Name   string `json:"name"`
 	// SchemaVersion is incremented with each change of Parameters.
-	SchemaVersion int         `json:"schema_version"`
-	Doc           string      `json:"doc"`
-	Parameters    []Parameter `json:"parameters"`
-	Service       Shape       `json:"service"`
+	SchemaVersion int             `json:"schema_version"`
+	Doc           string          `json:"doc"`
+	Parameters    []Parameter     `json:"parameters"`
+	Service       ServiceTemplate `json:"service"`
 }
 
 // Parameter is one value that an account fills in.
@@ -45,9 +45,9 @@
 	Allowed []string `json:"allowed,omitempty"`
 }
 
-// Shape maps each setting of a service to a literal, or to the value of a
+// ServiceTemplate maps each setting of a service to a literal, or to the value of a
 // parameter, written as "$name".
-type Shape struct {
+type ServiceTemplate struct {
 	Address         json.RawMessage `json:"address,omitempty"`
 	DataCentres     json.RawMessage `json:"data_centres,omitempty"`
 	Targets         json.RawMessage `json:"targets,omitempty"`
--- a/core/config/garbage.go
+++ b/core/config/garbage.go
@@ -6,7 +6,7 @@
 	"baobabstep"
 )
 
-// Garbage returns the listed objects that the version of head does not use. It
+// UnusedObjects returns the listed objects that the version of head does not use. It
 // returns CodeIncomplete if the list lacks an object in use; then nothing may be
 // removed.
 //
@@ -16,7 +16,7 @@
 // object only at its listed revision. An accept that finds an object present
 // rewrites it, which changes its revision. So the collector removes only objects
 // that no accept has used since the listing, however long it was paused.
-func Garbage(head *Head, listed []baobabstep.KeyValue) ([]baobabstep.KeyValue, error) {
+func UnusedObjects(head *Head, listed []baobabstep.KeyValue) ([]baobabstep.KeyValue, error) {
 	objects := make(map[Digest][]byte, len(listed))
 	for _, kv := range listed {
 		objects[MakeDigest(kv.Value)] = kv.Value
--- a/core/config/main_test.go
+++ b/core/config/main_test.go
@@ -112,7 +112,7 @@
 	}
 	out := config.Snapshot{Head: kv.Value, Objects: map[config.Digest][]byte{}}
 	for {
-		missing, err := r.Wants(kv.Value, out.Objects)
+		missing, err := r.MissingObjects(kv.Value, out.Objects)
 		if err != nil || len(missing) == 0 {
 			return out, err == nil
 		}
@@ -137,7 +137,7 @@
 			{Name: "queue_limit", Type: config.TypeInteger, Doc: "length of the queue", Default: raw("8"), Min: raw("0"), Max: raw("100")},
 			{Name: "max_timeout", Type: config.TypeDuration, Doc: "longest time", Default: raw(`"10s"`), Min: raw(`"1s"`), Max: raw(`"1m"`)},
 		},
-		Service: config.Shape{
+		Service: config.ServiceTemplate{
 			Address: raw(`"$address"`), DataCentres: raw(`["a","b","c"]`), Targets: raw(`"$targets"`),
 			QueueLimit: raw(`"$queue_limit"`), MaxTimeout: raw(`"$max_timeout"`),
 		},
@@ -277,7 +277,7 @@
 		}
 		r := config.NewReplica(f.now, config.ReplicaOptions{
 			Self: vm, Rand: rand.New(rand.NewPCG(uint64(id), 7)), BytesPerSecond: f.rate, Burst: f.burst,
-			Violated: func(invariant, detail string) { f.violated = append(f.violated, invariant+": "+detail) },
+			OnViolation: func(invariant, detail string) { f.violated = append(f.violated, invariant+": "+detail) },
 		})
 		r.SetFleet(f.now, f.vms)
 		f.replicas[id] = r
@@ -345,7 +345,7 @@
 	}
 	if s, ok := f.store.snapshot(r); ok {
 		f.handled[id] = f.store.revision
-		f.send(id, r.FromPlatform(f.now, s))
+		f.send(id, r.HandleSnapshot(f.now, s))
 	}
 }
 
--- a/core/config/message.go
+++ b/core/config/message.go
@@ -121,7 +121,7 @@
 
 // dictionary concatenates the base ranges of a message, or returns false if one
 // is not available. Sender and receiver must build the same dictionary.
-func dictionary(bases []piece, objects Objects) ([]byte, bool) {
+func dictionary(bases []piece, objects ObjectLookup) ([]byte, bool) {
 	var out []byte
 	for _, p := range bases {
 		b, ok := objects(p.Digest)
@@ -135,7 +135,7 @@
 
 // baseRange returns the range of base that most likely resembles p, or false if
 // there is none.
-func baseRange(base Digest, p piece, objects Objects) (piece, bool) {
+func baseRange(base Digest, p piece, objects ObjectLookup) (piece, bool) {
 	b, ok := objects(base)
 	if !ok || base.IsZero() || len(b) == 0 {
 		return piece{}, false
--- a/core/config/replica.go
+++ b/core/config/replica.go
@@ -34,7 +34,7 @@
 	// cutOffAfter is the silence after which the peers count as unreachable.
 	cutOffAfter = 10 * time.Second
 	// statusWatchDuration and statusRefreshPeriod are how long and how often a
-	// VM requests fresh summaries from the readers after [Replica.Watch].
+	// VM requests fresh summaries from the readers after [Replica.RefreshStatus].
 	statusWatchDuration = 3 * time.Second
 	statusRefreshPeriod = 2 * reportPeriod
 	// reportPeriod is how often a reader checks whether its data centre agrees.
@@ -52,8 +52,8 @@
 	// ReadersPerDataCentre is the number of VMs per data centre that read the
 	// platform.
 	ReadersPerDataCentre int
-	// Violated is called when an invariant is violated, such as "I8".
-	Violated func(invariant, detail string)
+	// OnViolation is called when an invariant is violated, such as "I8".
+	OnViolation func(invariant, detail string)
 }
 
 // Out is one message to a peer, for [baobabstep.TopicConfig].
@@ -63,7 +63,7 @@
 }
 
 // Snapshot is what a reader read from the platform: the head and the objects that
-// [Replica.Wants] returned.
+// [Replica.MissingObjects] returned.
 type Snapshot struct {
 	Head    []byte
 	Objects map[Digest][]byte
@@ -89,7 +89,7 @@
 	// comparedAt is when versions were last compared with a peer.
 	comparedAt  time.Time
 	comparisons int
-	// statusReadAt is when Watch was last called.
+	// statusReadAt is when RefreshStatus was last called.
 	statusReadAt, summariesRefreshedAt time.Time
 	// reportedVersion is the version that all VMs of the data centre were last
 	// reported to have; see reportAgreement.
@@ -129,8 +129,8 @@
 	if o.ReadersPerDataCentre == 0 {
 		o.ReadersPerDataCentre = defaultReaders
 	}
-	if o.Violated == nil {
-		o.Violated = func(string, string) {}
+	if o.OnViolation == nil {
+		o.OnViolation = func(string, string) {}
 	}
 	r := &Replica{
 		o: o, started: now, builder: NewBuilder(), objects: map[Digest][]byte{},
@@ -250,10 +250,10 @@
 	}
 }
 
-// Wants returns the objects that a reader has to read before the version of head
+// MissingObjects returns the objects that a reader has to read before the version of head
 // can be adopted, as far as is known yet; objects in have may refer to more. It
 // returns nothing for a version that is not newer than the one in force.
-func (r *Replica) Wants(head []byte, have map[Digest][]byte) ([]Missing, error) {
+func (r *Replica) MissingObjects(head []byte, have map[Digest][]byte) ([]MissingObject, error) {
 	h, err := DecodeHead(head)
 	if err != nil {
 		return nil, err
@@ -268,7 +268,7 @@
 }
 
 // lookup returns a lookup of objects in have and then in the replica.
-func (r *Replica) lookup(have map[Digest][]byte) Objects {
+func (r *Replica) lookup(have map[Digest][]byte) ObjectLookup {
 	return func(d Digest) ([]byte, bool) {
 		if b, ok := have[d]; ok {
 			return b, true
@@ -278,9 +278,9 @@
 	}
 }
 
-// FromPlatform handles what a reader read. A version that is not newer than the
+// HandleSnapshot handles what a reader read. A version that is not newer than the
 // one in force is never applied.
-func (r *Replica) FromPlatform(now time.Time, s Snapshot) []Out {
+func (r *Replica) HandleSnapshot(now time.Time, s Snapshot) []Out {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recordPlatformAnswer(now)
@@ -331,7 +331,7 @@
 
 // tryAdopt puts the version into force if all its objects are available, and
 // otherwise returns the missing ones.
-func (r *Replica) tryAdopt(now time.Time, version uint64, manifest Digest) ([]Out, []Missing) {
+func (r *Replica) tryAdopt(now time.Time, version uint64, manifest Digest) ([]Out, []MissingObject) {
 	previous := r.current.Load()
 	s, missing, err := r.builder.Build(manifest, r.lookup(nil), previous)
 	if err != nil {
@@ -348,7 +348,7 @@
 		return nil, nil
 	}
 	if previous != nil && version <= previous.Manifest.Version {
-		r.o.Violated("I8", "an older version was about to be applied")
+		r.o.OnViolation("I8", "an older version was about to be applied")
 		return nil, nil
 	}
 	r.current.Store(s)
--- a/core/config/spread.go
+++ b/core/config/spread.go
@@ -26,7 +26,7 @@
 // VM, so that a peer with the first version gets the difference in one message.
 type versionDelta struct {
 	from, to uint64
-	pieces   []Missing
+	pieces   []MissingObject
 }
 
 // maxDeltas limits the deltas, and thereby the replaced objects, that are kept.
@@ -229,7 +229,7 @@
 }
 
 // refreshSummaries requests summaries from the readers of the data centre for
-// statusWatchDuration after [Replica.Watch].
+// statusWatchDuration after [Replica.RefreshStatus].
 func (r *Replica) refreshSummaries(now time.Time) []Out {
 	if r.statusReadAt.IsZero() || now.Sub(r.statusReadAt) > statusWatchDuration || now.Sub(r.summariesRefreshedAt) < statusRefreshPeriod {
 		return nil
@@ -300,18 +300,18 @@
 		return
 	}
 	delta := versionDelta{from: previous.Manifest.Version, to: s.Manifest.Version}
-	delta.pieces = append(delta.pieces, Missing{s.Digest, previous.Digest})
+	delta.pieces = append(delta.pieces, MissingObject{s.Digest, previous.Digest})
 	for n, d := range s.pages {
 		if d != previous.pages[n] {
-			delta.pieces = append(delta.pieces, Missing{d, previous.pages[n]})
+			delta.pieces = append(delta.pieces, MissingObject{d, previous.pages[n]})
 		}
 	}
 	if q := s.Manifest.Quarantine; q != previous.Manifest.Quarantine && !q.IsZero() {
-		delta.pieces = append(delta.pieces, Missing{q, previous.Manifest.Quarantine})
+		delta.pieces = append(delta.pieces, MissingObject{q, previous.Manifest.Quarantine})
 	}
 	for k, ref := range s.refs {
 		if before := previous.refs[k].Digest; ref.Digest != before {
-			delta.pieces = append(delta.pieces, Missing{ref.Digest, before})
+			delta.pieces = append(delta.pieces, MissingObject{ref.Digest, before})
 		}
 	}
 	if len(delta.pieces) > maxPiecesPerMessage {
--- a/core/config/spread_test.go
+++ b/core/config/spread_test.go
@@ -366,7 +366,7 @@
 	f.advance(3 * time.Second)
 
 	everywhere := func(r *config.Replica, version uint64) bool {
-		r.Watch(f.now)
+		r.RefreshStatus(f.now)
 		status := r.Status(f.now)
 		least, complete := status.InForceAt(time.Minute)
 		return complete && least >= version
@@ -412,7 +412,7 @@
 	mustAccept(c, s, editChange(config.ObjectAccount, accountName(1), testAccount(1, 4), testAccount(1, 3)))
 	liftable := func() (all []uint64) {
 		for _, vm := range f.vms {
-			if v := f.replicas[vm.ID].Liftable(f.now); v > 0 {
+			if v := f.replicas[vm.ID].LiftableVersion(f.now); v > 0 {
 				all = append(all, v)
 			}
 		}
--- a/core/config/status.go
+++ b/core/config/status.go
@@ -82,9 +82,9 @@
 	return s
 }
 
-// Watch requests fresh summaries for a few seconds, for an operator who follows
+// RefreshStatus requests fresh summaries for a few seconds, for an operator who follows
 // the status.
-func (r *Replica) Watch(now time.Time) {
+func (r *Replica) RefreshStatus(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.statusReadAt = now
--- a/core/config/template.go
+++ b/core/config/template.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// setting is one field of a Shape.
+// setting is one field of a ServiceTemplate.
 type setting struct {
 	name         string
 	typ          Type
@@ -15,8 +15,8 @@
 	defaultValue json.RawMessage
 }
 
-// settings lists the fields of the shape with their types and default values.
-func (s *Shape) settings() []setting {
+// settings lists the fields of the template with their types and default values.
+func (s *ServiceTemplate) settings() []setting {
 	std := func(s string) json.RawMessage { return json.RawMessage(s) }
 	return []setting{
 		{"address", TypeAddress, s.Address, true, nil},
--- a/core/config/trail.go
+++ b/core/config/trail.go
@@ -16,16 +16,16 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Anchor is a trusted position in the audit trail: the hash of the entry with the
+// TrailPosition is a trusted position in the audit trail: the hash of the entry with the
 // given sequence number. The zero value is the position before the first entry.
-type Anchor struct {
+type TrailPosition struct {
 	Sequence uint64 `json:"sequence"`
 	Hash     string `json:"hash"`
 }
 
 // VerifyTrail checks that entries form an unmodified hash chain from start to end.
 // It returns CodeAuditBroken for the first changed, missing or reordered entry.
-func VerifyTrail(start Anchor, entries []baobabstep.AuditEntry, end Anchor) error {
+func VerifyTrail(start TrailPosition, entries []baobabstep.AuditEntry, end TrailPosition) error {
 	position := start
 	for i := range entries {
 		e := &entries[i]
@@ -37,7 +37,7 @@
 		case e.PreviousHash != position.Hash:
 			return auditBroken("entry %d names %s as its predecessor, which is %s: an entry before it was replaced", e.Sequence, abbreviate(e.PreviousHash), abbreviate(position.Hash))
 		}
-		position = Anchor{e.Sequence, e.Hash}
+		position = TrailPosition{e.Sequence, e.Hash}
 	}
 	if position != end {
 		return auditBroken("the trail ends with entry %d (hash %s), the version in force with entry %d (hash %s)", position.Sequence, abbreviate(position.Hash), end.Sequence, abbreviate(end.Hash))
--- a/core/config/transfer.go
+++ b/core/config/transfer.go
@@ -142,7 +142,7 @@
 
 // choosePieces returns what to request from one peer: objects that were not
 // requested recently, and of partially received ones only the rest.
-func (r *Replica) choosePieces(now time.Time, id baobabstep.VMID, missing []Missing) []piece {
+func (r *Replica) choosePieces(now time.Time, id baobabstep.VMID, missing []MissingObject) []piece {
 	var wants []piece
 	for _, m := range missing {
 		if q, ok := r.fetch.requested[m.Digest]; ok && now.Sub(q.at) < reassignAfter {
--- a/core/config/tree.go
+++ b/core/config/tree.go
@@ -65,7 +65,7 @@
 	// Changes lists the identifiers of the latest changes, oldest first.
 	Changes []ChangeID `json:"changes"`
 	// Collections is incremented before garbage is removed, which restarts
-	// concurrent accepts; see [Garbage].
+	// concurrent accepts; see [UnusedObjects].
 	Collections uint64 `json:"collections"`
 }
 
@@ -94,9 +94,9 @@
 	return 0, false
 }
 
-// Pages is the number of pages that references are hashed to. A change rewrites
+// PageCount is the number of pages that references are hashed to. A change rewrites
 // the manifest and a page; 64 keeps both near 10 kB at 6,200 accounts.
-const Pages = 64
+const PageCount = 64
 
 // Manifest is the root of one version.
 type Manifest struct {
@@ -143,7 +143,7 @@
 func (r Ref) key() refKey { return refKey{r.Kind, r.Name} }
 
 func (k refKey) page() int {
-	return int(xxhash.Sum64String(k.kind.String()+"/"+k.name) % Pages)
+	return int(xxhash.Sum64String(k.kind.String()+"/"+k.name) % PageCount)
 }
 
 // QuarantineItem is an address that version Until removed from a service.
@@ -155,12 +155,12 @@
 	Since time.Time `json:"since"`
 }
 
-// Objects looks up the bytes of an object.
-type Objects func(Digest) ([]byte, bool)
+// ObjectLookup looks up the bytes of an object.
+type ObjectLookup func(Digest) ([]byte, bool)
 
-// Missing is an object of a version that is not available locally. Base is the
+// MissingObject is an object of a version that is not available locally. Base is the
 // object that it replaces, or zero.
-type Missing struct {
+type MissingObject struct {
 	Digest Digest
 	Base   Digest
 }
@@ -168,7 +168,7 @@
 // pageRefs returns the page references of refs, and adds the pages' bytes to
 // objects.
 func pageRefs(refs map[refKey]Ref, objects map[Digest][]byte) []PageRef {
-	var pages [Pages]Page
+	var pages [PageCount]Page
 	for k, r := range refs {
 		n := k.page()
 		pages[n].Refs = append(pages[n].Refs, r)
--- a/io/audit/audit_test.go
+++ b/io/audit/audit_test.go
@@ -136,9 +136,9 @@
 	c.Assert(kept[0].Sequence, qt.Equals, uint64(2*audit.SegmentEntries+1))
 	kv, err := client.Get(t.Context(), audit.Prefix+"base")
 	c.Assert(err, qt.IsNil)
-	var anchor config.Anchor
+	var anchor config.TrailPosition
 	c.Assert(json.Unmarshal(kv.Value, &anchor), qt.IsNil)
-	c.Assert(config.VerifyTrail(anchor, kept, config.Anchor{Sequence: entries, Hash: hash}), qt.IsNil)
+	c.Assert(config.VerifyTrail(anchor, kept, config.TrailPosition{Sequence: entries, Hash: hash}), qt.IsNil)
 }
 
 // TestLatest: an operator looks at the trail of years of changes. The call reads
--- a/io/audit/trail.go
+++ b/io/audit/trail.go
@@ -148,7 +148,7 @@
 		return err
 	}
 	if base.Sequence < last.Sequence {
-		anchor := config.Anchor{Sequence: last.Sequence, Hash: last.Hash}
+		anchor := config.TrailPosition{Sequence: last.Sequence, Hash: last.Hash}
 		if _, err := t.platform.Put(ctx, baseKey, config.Encode(anchor), baseRevision); err != nil {
 			return err
 		}
@@ -163,8 +163,8 @@
 	return s, revision, err
 }
 
-func (t *Trail) base(ctx context.Context) (config.Anchor, uint64, error) {
-	var a config.Anchor
+func (t *Trail) base(ctx context.Context) (config.TrailPosition, uint64, error) {
+	var a config.TrailPosition
 	revision, err := t.read(ctx, baseKey, &a)
 	return a, revision, err
 }
@@ -319,25 +319,25 @@
 }
 
 // end returns the entry of the version that the platform has.
-func (t *Trail) end(ctx context.Context) (config.Anchor, error) {
+func (t *Trail) end(ctx context.Context) (config.TrailPosition, error) {
 	kv, err := t.platform.Get(ctx, config.HeadKey)
 	if baobabstep.CodeOf(err) == baobabstep.CodeNotFound {
-		return config.Anchor{}, nil
+		return config.TrailPosition{}, nil
 	}
 	if err != nil {
-		return config.Anchor{}, err
+		return config.TrailPosition{}, err
 	}
 	head, err := config.DecodeHead(kv.Value)
 	if err != nil {
-		return config.Anchor{}, err
+		return config.TrailPosition{}, err
 	}
 	object, err := t.platform.Get(ctx, config.ObjectKey(head.Manifest))
 	if err != nil {
-		return config.Anchor{}, err
+		return config.TrailPosition{}, err
 	}
 	m, err := config.DecodeManifest(object.Value)
 	if err != nil {
-		return config.Anchor{}, err
+		return config.TrailPosition{}, err
 	}
-	return config.Anchor{Sequence: m.Entry.Sequence, Hash: m.Entry.Hash}, nil
+	return config.TrailPosition{Sequence: m.Entry.Sequence, Hash: m.Entry.Hash}, nil
 }
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -126,7 +126,7 @@
 
 func (s *Server) status(context.Context, string, nothing) (Status, error) {
 	now := s.o.Clock.Now()
-	s.o.Replica.Watch(now)
+	s.o.Replica.RefreshStatus(now)
 	return Status{Node: s.o.Node.Status(now), Replica: s.o.Replica.Status(now)}, nil
 }
 
@@ -208,7 +208,7 @@
 	d := Document{Kind: r.Kind, Name: r.Name, Version: r.Version}
 	if r.Kind == config.ObjectTemplate {
 		d.Doc = set.Template(r.Name).Doc
-		d.UsedBy = set.Users(r.Name)
+		d.UsedBy = set.AccountsUsing(r.Name)
 		return d
 	}
 	a := set.Account(r.Name)
--- a/io/platform/collect.go
+++ b/io/platform/collect.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	garbage, err := config.Garbage(head, listed)
+	garbage, err := config.UnusedObjects(head, listed)
 	if err != nil || len(garbage) <= c.Keep {
 		return nil, err
 	}
--- a/io/platform/failure_test.go
+++ b/io/platform/failure_test.go
@@ -307,7 +307,7 @@
 	c.Assert(head.Version, qt.Equals, version)
 	listed, err := p.List(c.Context(), config.ObjectPrefix)
 	c.Assert(err, qt.IsNil)
-	_, err = config.Garbage(head, listed)
+	_, err = config.UnusedObjects(head, listed)
 	c.Assert(err, qt.IsNil)
 }
 
--- a/io/platform/reader.go
+++ b/io/platform/reader.go
@@ -101,7 +101,7 @@
 // knows that they have left their former service everywhere. If it fails, the
 // next pass tries again.
 func (r *Reader) lift(ctx context.Context) {
-	version := r.replica.Liftable(r.clock.Now())
+	version := r.replica.LiftableVersion(r.clock.Now())
 	if version == 0 {
 		return
 	}
@@ -146,7 +146,7 @@
 	}
 	objects := map[config.Digest][]byte{}
 	for {
-		missing, err := r.replica.Wants(head.Value, objects)
+		missing, err := r.replica.MissingObjects(head.Value, objects)
 		if err != nil {
 			return revision, err
 		}
@@ -164,7 +164,7 @@
 			return revision, err
 		}
 	}
-	r.deliver(r.replica.FromPlatform(r.clock.Now(), config.Snapshot{Head: head.Value, Objects: objects}))
+	r.deliver(r.replica.HandleSnapshot(r.clock.Now(), config.Snapshot{Head: head.Value, Objects: objects}))
 	return head.Revision, nil
 }
 
@@ -207,7 +207,7 @@
 }
 
 // fetch reads objects: few by name, many by the first two digits of the name.
-func (r *Reader) fetch(ctx context.Context, missing []config.Missing, objects map[config.Digest][]byte) error {
+func (r *Reader) fetch(ctx context.Context, missing []config.MissingObject, objects map[config.Digest][]byte) error {
 	if len(missing) <= listAbove {
 		for _, m := range missing {
 			kv, err := r.platform.Get(ctx, config.ObjectKey(m.Digest))
--- a/node/node.go
+++ b/node/node.go
@@ -140,7 +140,7 @@
 		done: make(chan struct{}),
 	}
 	n.fleet = member.New(now, member.Options{Self: self, PauseLimit: pauseLimit, Rand: n.random(1)})
-	n.replica = config.NewReplica(now, config.ReplicaOptions{Self: self, Rand: n.random(2), Violated: n.broken})
+	n.replica = config.NewReplica(now, config.ReplicaOptions{Self: self, Rand: n.random(2), OnViolation: n.broken})
 	n.targets = target.New(now, target.Options{
 		Self: self.ID, DataCentre: self.DataCentre, Rand: n.random(3), Invariant: n.broken,
 	})
