--- a/core/answer/doc.go
+++ b/core/answer/doc.go
@@ -3,10 +3,10 @@
 //
 // # The model
 //
-// Targets answer callers directly. A VM sees only what the caller sends: the
-// request, and acknowledgement numbers that grow with each byte of the answer
-// received. So a VM knows the size and the response time of an answer, but not its
-// content. That is enough, because failures differ from the usual answers of a route:
+// Targets answer callers directly. A VM sees only what the caller sends: the request, and
+// acknowledgement numbers that grow with each byte of the answer received. So a VM knows
+// the size and the latency of an answer, but not its content. That is enough, because
+// failures differ from the usual answers of a route:
 //
 //	failure                      what a VM sees
 //	an error, "no room"          an answer much shorter than usual
--- a/core/answer/tally.go
+++ b/core/answer/tally.go
@@ -18,7 +18,7 @@
 	Answered Outcome = iota // answered
 	// Short: the answer was much shorter than is typical for the route.
 	Short // short
-	// Unanswered: no answer arrived within many times the usual response time.
+	// Unanswered: no answer arrived within many times the usual latency.
 	Unanswered // unanswered
 	// Refused: nothing arrived after the first segment of the flow.
 	Refused // refused
@@ -42,7 +42,7 @@
 type Sample struct {
 	// Answers counts all outcomes, Failed those other than Answered.
 	Answers, Failed float64
-	// Latency is the mean response time of the requests with outcome Answered.
+	// Latency is the mean latency of the requests with outcome Answered.
 	Latency time.Duration
 }
 
@@ -60,12 +60,12 @@
 // concurrent use. The zero value is empty.
 type Counter struct {
 	answers, failed float64
-	// totalSeconds is the sum of the response times of the answered requests.
+	// totalSeconds is the sum of the latencies of the answered requests.
 	totalSeconds float64
 	updatedAt    time.Time
 }
 
-// Add counts an outcome. took is the response time if the request was answered.
+// Add counts an outcome. took is the latency if the request was answered.
 func (s *Counter) Add(now time.Time, outcome Outcome, took time.Duration) {
 	s.decayTo(now)
 	s.answers++
@@ -157,5 +157,5 @@
 }
 
 // minLatencyWeight is the weight of answered requests, a hundredth of one, up to which no
-// mean response time is given.
+// mean latency is given.
 const minLatencyWeight = 0.01
--- a/core/heartbeat/alarm.go
+++ b/core/heartbeat/alarm.go
@@ -65,7 +65,7 @@
 	}
 	if l.Unanswered > 0 {
 		r.silence = baobabstep.SilenceReport{
-			Unanswered: int(l.Unanswered), UnansweredOpens: int(l.Opens), NotRetransmitted: int(l.Vanished), LastUnansweredAt: ago(l.LastUnansweredMS),
+			Unanswered: int(l.Unanswered), UnansweredOpens: int(l.UnansweredOpens), NotRetransmitted: int(l.NotRetransmitted), LastUnansweredAt: ago(l.LastUnansweredMS),
 		}
 	}
 	return r
--- a/core/heartbeat/board.go
+++ b/core/heartbeat/board.go
@@ -265,12 +265,12 @@
 	if p.last == nil && h.DataCentre == t.options.DataCentre {
 		t.lastNewNearPeer = now
 	}
-	newLife := p.last == nil || h.Incarnation != p.last.Incarnation
-	if newLife {
+	newIncarnation := p.last == nil || h.Incarnation != p.last.Incarnation
+	if newIncarnation {
 		p.alarmSequence = 0
 		t.addNewPeer(p)
 	}
-	if newLife || h.Sequence > p.alarmSequence {
+	if newIncarnation || h.Sequence > p.alarmSequence {
 		t.markReportsChanged(p)
 		p.reports = makeSilenceReports(now, h.Loads)
 	}
--- a/core/heartbeat/board_test.go
+++ b/core/heartbeat/board_test.go
@@ -281,7 +281,7 @@
 				times[l.Target] += int(l.LatencyMS) * int(l.AnswerTenths-failed)
 				sum.Answers, sum.Failed = float64(answers[l.Target])/tenthsPerRequest, float64(failures[l.Target])/tenthsPerRequest
 				if good := answers[l.Target] - failures[l.Target]; good > 0 {
-					sum.MeanDuration = time.Duration(times[l.Target]) * time.Millisecond / time.Duration(good)
+					sum.MeanLatency = time.Duration(times[l.Target]) * time.Millisecond / time.Duration(good)
 				}
 				sum.Callers |= l.Callers
 			}
@@ -297,7 +297,7 @@
 func TestLoads(t *testing.T) {
 	b := newPeerTable(1)
 	for n, load := range map[int]Load{
-		2: {RequestTenths: 15, Unanswered: 9, Opens: 9}, 3: {RequestTenths: 30, Unanswered: 1, Opens: 1}, 5: {Unanswered: 2, Opens: 1}, 7: {Unanswered: 2},
+		2: {RequestTenths: 15, Unanswered: 9, UnansweredOpens: 9}, 3: {RequestTenths: 30, Unanswered: 1, UnansweredOpens: 1}, 5: {Unanswered: 2, UnansweredOpens: 1}, 7: {Unanswered: 2},
 	} {
 		h := newHeartbeat(n, 1, 1)
 		load.Target = 9
@@ -350,23 +350,23 @@
 // Guards against VMs that know only seeds and do not find each other, also when a seed no
 // longer exists.
 func TestDiscovery(t *testing.T) {
-	boards := map[netip.AddrPort]*PeerTable{}
+	tables := map[netip.AddrPort]*PeerTable{}
 	for n := 1; n <= 9; n++ {
-		boards[address(n)] = newPeerTable(n, 1, 2, 99)
+		tables[address(n)] = newPeerTable(n, 1, 2, 99)
 	}
 	now := start
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		for from, b := range boards {
+		for from, b := range tables {
 			for _, out := range b.Tick(now, LocalState{}) {
-				if to := boards[out.To]; to != nil {
+				if to := tables[out.To]; to != nil {
 					to.Handle(now, from, out.Message.Heartbeat)
 				}
 			}
 		}
 	}
 	for n := 1; n <= 9; n++ {
-		live := boards[address(n)].LiveCounts(now)
+		live := tables[address(n)].LiveCounts(now)
 		qt.Assert(t, live["a"]+live["b"], qt.Equals, 8, qt.Commentf("VM %d: %v", n, live))
 	}
 }
@@ -390,13 +390,13 @@
 func countLostDataCentres(t *testing.T, vms, dataCentres, small int) (lost int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(7, 8))
-	boards := make([]*PeerTable, vms)
+	tables := make([]*PeerTable, vms)
 	phase := make([]time.Duration, vms)
 	at := func(n int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, byte(n >> 8), byte(n)}), 8401)
 	}
 	index := map[netip.AddrPort]int{}
-	for n := range boards {
+	for n := range tables {
 		dc := n % dataCentres
 		if small > 0 {
 			dc = n % (dataCentres - 1)
@@ -404,7 +404,7 @@
 				dc = dataCentres - 1
 			}
 		}
-		boards[n] = New(start, Options{
+		tables[n] = New(start, Options{
 			Self: baobabstep.VMID(n + 1), DataCentre: string(rune('a' + dc)), Address: at(n), Incarnation: 1,
 			Seeds: []netip.AddrPort{at(0), at(1), at(vms - 1)}, Rand: rand.New(rand.NewPCG(uint64(n), 1)),
 		})
@@ -412,11 +412,11 @@
 		index[at(n)] = n
 	}
 	for step := range 300 {
-		for n, b := range boards {
+		for n, b := range tables {
 			now := start.Add(time.Duration(step)*100*time.Millisecond + phase[n])
 			if b.HeartbeatsDue(now) {
 				for _, out := range b.Tick(now, LocalState{}) {
-					boards[index[out.To]].Handle(now, at(n), out.Message.Heartbeat)
+					tables[index[out.To]].Handle(now, at(n), out.Message.Heartbeat)
 				}
 			}
 			if step >= 200 && len(b.LiveCounts(now)) < dataCentres {
@@ -482,7 +482,7 @@
 	h.EvacuationsVersion = h.Versions[Targets]
 	var own []baobabstep.TargetLoad
 	for id := range 200 {
-		own = append(own, baobabstep.TargetLoad{Target: baobabstep.TargetID(id) + 1<<39, Requests: 6000, Unanswered: 255, UnansweredOpens: 255, HeardAt: start.Add(-time.Minute), ReportedSilent: true, Answers: 6000, Failed: 6000, MeanDuration: time.Minute})
+		own = append(own, baobabstep.TargetLoad{Target: baobabstep.TargetID(id) + 1<<39, Requests: 6000, Unanswered: 255, UnansweredOpens: 255, HeardAt: start.Add(-time.Minute), ReportedSilent: true, Answers: 6000, Failed: 6000, MeanLatency: time.Minute})
 	}
 	h.Loads = MakeLoads(start, own, maxLoads)
 	qt.Assert(t, h.Loads, qt.HasLen, maxLoads)
@@ -499,19 +499,19 @@
 func TestRelayReachesEachOnce(t *testing.T) {
 	for _, vms := range []int{1, 2, 5, 17, 18, 60, 200} {
 		for _, fanout := range []int{minRelayFanout, maxRelayFanout} {
-			boards := make(map[netip.AddrPort]*PeerTable)
+			tables := make(map[netip.AddrPort]*PeerTable)
 			for n := 1; n <= 2*vms; n += 2 { // odd VMs share a data centre
 				b := newPeerTable(n)
 				for other := 1; other <= 2*vms; other += 2 {
 					b.Handle(start, address(other), newHeartbeat(other, 1, 1))
 				}
 				b.updateTurns()
-				boards[address(n)] = b
+				tables[address(n)] = b
 			}
 			origin := address(1 + 2*(vms/2))
 			got := map[netip.AddrPort]int{}
 			for senders := []netip.AddrPort{origin}; len(senders) > 0; senders = senders[1:] {
-				to := boards[senders[0]].RelayPeers(start, origin, fanout)
+				to := tables[senders[0]].RelayPeers(start, origin, fanout)
 				qt.Assert(t, len(to) <= fanout, qt.IsTrue)
 				for _, at := range to {
 					got[at]++
--- a/core/heartbeat/change_test.go
+++ b/core/heartbeat/change_test.go
@@ -144,7 +144,7 @@
 func TestColdLimitsRoundTrip(t *testing.T) {
 	from := &baobabstep.RoutingTable{Version: 1}
 	to := &baobabstep.RoutingTable{Version: 2, ColdLimits: []baobabstep.ColdLimit{
-		{Service: "b", PerSecond: 1.5, Lasts: time.Second}, {Service: "a", PerSecond: 6, Lasts: 4 * time.Second},
+		{Service: "b", PerSecond: 1.5, Duration: time.Second}, {Service: "a", PerSecond: 6, Duration: 4 * time.Second},
 	}}
 	SortTable(to)
 	travel := func(from, to *baobabstep.RoutingTable) *baobabstep.RoutingTable {
@@ -171,7 +171,7 @@
 	travel(&same, &baobabstep.RoutingTable{Version: 4})
 
 	t.Run("an invalid limit is malformed", func(t *testing.T) {
-		raw, err := encMode.Marshal(&routesBody{Version: 1, ColdLimits: []coldLimitBody{{Service: "a", PerSecond: -1, Lasts: 1}}})
+		raw, err := encMode.Marshal(&routesBody{Version: 1, ColdLimits: []coldLimitBody{{Service: "a", PerSecond: -1, Duration: 1}}})
 		qt.Assert(t, err, qt.IsNil)
 		_, err = DecodeRoutes(raw)
 		qt.Assert(t, baobabstep.CodeOf(err), qt.Equals, baobabstep.CodeMalformed)
--- a/core/heartbeat/fanout_test.go
+++ b/core/heartbeat/fanout_test.go
@@ -72,26 +72,26 @@
 // then none for seconds.
 func TestTurnsAreSpread(t *testing.T) {
 	const vms = 60
-	boards := make([]*PeerTable, vms)
-	for i := range boards {
-		boards[i] = newPeerTable(2*i + 1)
-		for j := range boards {
+	tables := make([]*PeerTable, vms)
+	for i := range tables {
+		tables[i] = newPeerTable(2*i + 1)
+		for j := range tables {
 			if i != j {
-				boards[i].Handle(start, address(2*j+1), newHeartbeat(2*j+1, 1, 1))
+				tables[i].Handle(start, address(2*j+1), newHeartbeat(2*j+1, 1, 1))
 			}
 		}
-		boards[i].Tick(start, LocalState{})
+		tables[i].Tick(start, LocalState{})
 	}
 	now := start
 	for range 20 {
 		now = now.Add(200 * time.Millisecond)
 		received := map[netip.AddrPort]int{}
-		for _, b := range boards {
+		for _, b := range tables {
 			for _, out := range b.Tick(now, LocalState{}) {
 				received[out.To]++
 			}
 		}
-		for i := range boards {
+		for i := range tables {
 			got := received[address(2*i+1)]
 			qt.Assert(t, got >= 4 && got <= 16, qt.IsTrue, qt.Commentf("VM %d received %d heartbeats in a round", i, got))
 		}
--- a/core/heartbeat/history_test.go
+++ b/core/heartbeat/history_test.go
@@ -74,8 +74,8 @@
 	return baobabstep.Registration{ID: id, Service: "s", DataCentre: "dc", Address: address(int(id)), Slots: 1}
 }
 
-// Guards against recorded changes of a revision that the store has not reached, but a copy
-// of it has announced.
+// Guards against recorded changes of a revision that the store has not reached, but a
+// replica of it has announced.
 func TestHistoryIsClearedWhenRevisionsGoBack(t *testing.T) {
 	var h History
 	h.Add(revisionOf(400), revisionOf(500), Difference{Removed: []baobabstep.TargetID{1}})
--- a/core/heartbeat/load.go
+++ b/core/heartbeat/load.go
@@ -20,8 +20,8 @@
 // targetSum is the summed load of one target.
 type targetSum struct {
 	tenths uint64
-	// answers and failed are in tenths. latency is the sum of the response times of the
-	// other answers, in tenths times milliseconds.
+	// answers and failed are in tenths. latency is the sum of the latencies of the other
+	// answers, in tenths times milliseconds.
 	answers, failed, latency uint64
 	// callers counts, for each bit of Load.Callers, the VMs that report it.
 	callers [16]uint16
@@ -82,7 +82,7 @@
 // sender.
 func (l *Load) failedTenths() uint64 { return uint64(min(l.FailedTenths, l.AnswerTenths)) }
 
-// latencyTenths returns the sum of the response times of the answers that did not fail, in
+// latencyTenths returns the sum of the latencies of the answers that did not fail, in
 // tenths times milliseconds.
 func (l *Load) latencyTenths() uint64 {
 	return uint64(l.LatencyMS) * (uint64(l.AnswerTenths) - l.failedTenths())
@@ -96,7 +96,7 @@
 	}
 	load.Answers, load.Failed = float64(s.answers)/tenthsPerRequest, float64(s.failed)/tenthsPerRequest
 	if succeeded := s.answers - s.failed; succeeded > 0 {
-		load.MeanDuration = time.Duration(s.latency) * time.Millisecond / time.Duration(succeeded)
+		load.MeanLatency = time.Duration(s.latency) * time.Millisecond / time.Duration(succeeded)
 	}
 	for bit, vms := range s.callers {
 		if vms > 0 {
@@ -132,7 +132,7 @@
 
 func (l Load) hasDetails() bool { return l.hasSilence() || l.AnswerTenths > 0 }
 
-func (l Load) hasSilence() bool { return l.Unanswered > 0 || l.Opens > 0 || l.HeardMS > 0 }
+func (l Load) hasSilence() bool { return l.Unanswered > 0 || l.UnansweredOpens > 0 || l.HeardMS > 0 }
 
 // MarkLoadsChanged marks targets as changed, so that the next call of Loads includes them.
 func (t *PeerTable) MarkLoadsChanged(targets []baobabstep.TargetID) {
@@ -200,7 +200,7 @@
 	for _, l := range own {
 		load := Load{
 			Target: l.Target, RequestTenths: uint32(l.Requests * tenthsPerRequest),
-			Unanswered: sentCount(l.Unanswered), Opens: sentCount(l.UnansweredOpens), Vanished: sentCount(l.NotRetransmitted),
+			Unanswered: sentCount(l.Unanswered), UnansweredOpens: sentCount(l.UnansweredOpens), NotRetransmitted: sentCount(l.NotRetransmitted),
 		}
 		if l.ReportedSilent && !l.HeardAt.IsZero() {
 			load.HeardMS = uint16(min(max(1, now.Sub(l.HeardAt).Milliseconds()), maxHeardMS))
@@ -210,7 +210,7 @@
 		}
 		if l.Answers > 0 {
 			load.AnswerTenths, load.FailedTenths = toTenths(l.Answers), toTenths(min(l.Failed, l.Answers))
-			load.LatencyMS = uint16(min(l.MeanDuration.Milliseconds(), math.MaxUint16))
+			load.LatencyMS = uint16(min(l.MeanLatency.Milliseconds(), math.MaxUint16))
 			load.Callers = l.Callers
 		}
 		if load.RequestTenths > 0 || load.hasDetails() {
@@ -293,12 +293,12 @@
 
 // details returns the values of the details in their order on the wire.
 func (l Load) details() [numDetails]uint16 {
-	return [...]uint16{uint16(l.Unanswered), uint16(l.Opens), l.HeardMS, l.AnswerTenths, l.FailedTenths, l.LatencyMS, l.Callers, l.LastUnansweredMS, uint16(l.Vanished)}
+	return [...]uint16{uint16(l.Unanswered), uint16(l.UnansweredOpens), l.HeardMS, l.AnswerTenths, l.FailedTenths, l.LatencyMS, l.Callers, l.LastUnansweredMS, uint16(l.NotRetransmitted)}
 }
 
 // setDetails sets the values of the details, given in their order on the wire.
 func (l *Load) setDetails(v [numDetails]uint16) {
-	l.Unanswered, l.Opens, l.Vanished = uint8(min(v[0], maxCount)), uint8(min(v[1], maxCount)), uint8(min(v[8], maxCount))
+	l.Unanswered, l.UnansweredOpens, l.NotRetransmitted = uint8(min(v[0], maxCount)), uint8(min(v[1], maxCount)), uint8(min(v[8], maxCount))
 	l.HeardMS, l.AnswerTenths, l.FailedTenths, l.LatencyMS, l.Callers, l.LastUnansweredMS = v[2], v[3], v[4], v[5], v[6], v[7]
 }
 
--- a/core/heartbeat/load_test.go
+++ b/core/heartbeat/load_test.go
@@ -16,11 +16,11 @@
 		for _, id := range ids {
 			want = append(want, Load{
 				Target: baobabstep.TargetID(id), RequestTenths: rapid.Uint32().Draw(t, "tenths"),
-				Unanswered: rapid.Uint8().Draw(t, "unanswered"), Opens: rapid.Uint8().Draw(t, "opens"),
+				Unanswered: rapid.Uint8().Draw(t, "unanswered"), UnansweredOpens: rapid.Uint8().Draw(t, "opens"),
 				HeardMS: rapid.Uint16().Draw(t, "heard"), AnswerTenths: rapid.Uint16().Draw(t, "answers"),
 			})
 			if l := &want[len(want)-1]; l.Unanswered > 0 {
-				l.LastUnansweredMS, l.Vanished = rapid.Uint16().Draw(t, "left"), rapid.Uint8().Draw(t, "vanished")
+				l.LastUnansweredMS, l.NotRetransmitted = rapid.Uint16().Draw(t, "left"), rapid.Uint8().Draw(t, "vanished")
 			}
 			if l := &want[len(want)-1]; l.AnswerTenths > 0 {
 				l.FailedTenths, l.LatencyMS = rapid.Uint16().Draw(t, "failed"), rapid.Uint16().Draw(t, "took")
--- a/core/heartbeat/message.go
+++ b/core/heartbeat/message.go
@@ -153,15 +153,14 @@
 	// RequestTenths is the number of recent requests times ten.
 	RequestTenths uint32
 	// Unanswered is the number of consecutive flows that the target left without an
-	// answer, and Opens the number of those whose first segment was unanswered.
-	Unanswered, Opens uint8
+	// answer, and UnansweredOpens the number of those whose first segment was unanswered.
+	Unanswered, UnansweredOpens uint8
 	// HeardMS is the time in milliseconds since the sender received anything from the
 	// target. It is set only for targets that another VM reports as silent.
 	HeardMS uint16
 	// AnswerTenths is the number of recent requests with a known outcome, and FailedTenths
-	// the number of those that failed, both times ten. LatencyMS is the mean response time
-	// of the others in milliseconds. They are set only for targets that differ from the
-	// others.
+	// the number of those that failed, both times ten. LatencyMS is the mean latency of the
+	// others in milliseconds. They are set only for targets that differ from the others.
 	AnswerTenths, FailedTenths uint16
 	LatencyMS                  uint16
 	// Callers are the callers whose requests failed, as an answer.CallerSet.
@@ -169,8 +168,9 @@
 	// LastUnansweredMS is the time in milliseconds since the last of the unanswered flows
 	// was found to be unanswered.
 	LastUnansweredMS uint16
-	// Vanished is the number of consecutive flows that the target seems to have refused.
-	Vanished uint8
+	// NotRetransmitted is the number of consecutive flows that the target seems to have
+	// refused.
+	NotRetransmitted uint8
 }
 
 // Loads are loads sorted by target.
--- a/core/heartbeat/section.go
+++ b/core/heartbeat/section.go
@@ -120,9 +120,9 @@
 // nameOverhead is the size in bytes of the length of a name in Names.
 const nameOverhead = 2
 
-// appendRow appends a registration to Rows: identifier, length-prefixed address, indexes
-// of service, data centre and release in Names, slots, draining flag, ColdFor and Life.
-// All but the address and its length byte are unsigned varints.
+// appendRow appends a registration to Rows: identifier, length-prefixed address, indexes of
+// service, data centre and release in Names, slots, draining flag, WarmupLeft and
+// StartedMS. All but the address and its length byte are unsigned varints.
 func (s *Section) appendRow(r *baobabstep.Registration) {
 	b := binary.AppendUvarint(s.Rows, uint64(r.ID))
 	address, _ := r.Address.MarshalBinary() // never fails
@@ -184,11 +184,11 @@
 	r.ID = baobabstep.TargetID(in.uvarint())
 	r.Address = in.address()
 	r.Service, r.DataCentre, r.Release = in.name(s.Names), in.name(s.Names), in.name(s.Names)
-	slots, draining, cold, life := in.uvarint(), in.uvarint(), in.uvarint(), in.uvarint()
-	if in.failed || r.ID == 0 || !r.Address.IsValid() || slots < 1 || slots > maxSlots || draining > 1 || int64(cold) < 0 {
+	slots, draining, warmup, startedMS := in.uvarint(), in.uvarint(), in.uvarint(), in.uvarint()
+	if in.failed || r.ID == 0 || !r.Address.IsValid() || slots < 1 || slots > maxSlots || draining > 1 || int64(warmup) < 0 {
 		return r, nil, malformedSection("invalid registration in the last %d bytes", len(b))
 	}
-	r.Slots, r.Draining, r.WarmupLeft, r.StartedMS = int(slots), draining == 1, time.Duration(cold), life
+	r.Slots, r.Draining, r.WarmupLeft, r.StartedMS = int(slots), draining == 1, time.Duration(warmup), startedMS
 	return r, in.b, nil
 }
 
--- a/core/heartbeat/transfer.go
+++ b/core/heartbeat/transfer.go
@@ -39,7 +39,7 @@
 type coldLimitBody struct {
 	Service   string        `cbor:"1,keyasint"`
 	PerSecond float64       `cbor:"2,keyasint"`
-	Lasts     time.Duration `cbor:"3,keyasint"`
+	Duration  time.Duration `cbor:"3,keyasint"`
 }
 
 func makeColdLimits(limits []baobabstep.ColdLimit) (bodies []coldLimitBody) {
@@ -52,8 +52,8 @@
 // coldLimits decodes limits. Errors: CodeMalformed.
 func coldLimits(bodies []coldLimitBody) (limits []baobabstep.ColdLimit, err error) {
 	for _, b := range bodies {
-		if !(b.PerSecond > 0 && b.PerSecond <= maxColdPerSecond) || b.Lasts <= 0 {
-			return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.routes", "service %q: got %v requests a second for %v, want a rate above 0 and up to %v, and a duration above 0", b.Service, b.PerSecond, b.Lasts, float64(maxColdPerSecond))
+		if !(b.PerSecond > 0 && b.PerSecond <= maxColdPerSecond) || b.Duration <= 0 {
+			return nil, baobabstep.Errorf(baobabstep.CodeMalformed, "heartbeat.routes", "service %q: got %v requests a second for %v, want a rate above 0 and up to %v, and a duration above 0", b.Service, b.PerSecond, b.Duration, float64(maxColdPerSecond))
 		}
 		limits = append(limits, baobabstep.ColdLimit(b))
 	}
@@ -64,10 +64,10 @@
 	Name    string         `cbor:"1,keyasint"`
 	Address netip.AddrPort `cbor:"2,keyasint"`
 	Shares  []shareBody    `cbor:"3,keyasint"`
-	// Repeatable, Aim and Priority are as in baobabstep.Rule.
-	Repeatable bool          `cbor:"4,keyasint,omitempty"`
-	Aim        time.Duration `cbor:"5,keyasint,omitempty"`
-	Priority   int           `cbor:"6,keyasint,omitempty"`
+	// Repeatable, LatencyObjective and Priority are as in baobabstep.Rule.
+	Repeatable       bool          `cbor:"4,keyasint,omitempty"`
+	LatencyObjective time.Duration `cbor:"5,keyasint,omitempty"`
+	Priority         int           `cbor:"6,keyasint,omitempty"`
 }
 
 type shareBody struct {
@@ -83,8 +83,8 @@
 	Release    string              `cbor:"5,keyasint,omitempty"`
 	Slots      int                 `cbor:"6,keyasint"`
 	Draining   bool                `cbor:"7,keyasint,omitempty"`
-	ColdFor    time.Duration       `cbor:"8,keyasint,omitempty"`
-	Life       uint64              `cbor:"9,keyasint,omitempty"`
+	WarmupLeft time.Duration       `cbor:"8,keyasint,omitempty"`
+	StartedMS  uint64              `cbor:"9,keyasint,omitempty"`
 }
 
 func makeRule(r *baobabstep.Rule) ruleBody {
@@ -94,7 +94,7 @@
 	}
 	return ruleBody{
 		Name: r.Name, Address: r.Address, Shares: shares,
-		Repeatable: r.Repeatable, Aim: r.LatencyObjective, Priority: r.Priority,
+		Repeatable: r.Repeatable, LatencyObjective: r.LatencyObjective, Priority: r.Priority,
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 	return baobabstep.Rule{
 		Name: b.Name, Address: b.Address, Shares: shares,
-		Repeatable: b.Repeatable, LatencyObjective: b.Aim, Priority: b.Priority,
+		Repeatable: b.Repeatable, LatencyObjective: b.LatencyObjective, Priority: b.Priority,
 	}, nil
 }
 
@@ -156,7 +156,7 @@
 func makeTarget(r *baobabstep.Registration) targetBody {
 	return targetBody{
 		ID: r.ID, Service: r.Service, Address: r.Address, DataCentre: r.DataCentre,
-		Release: r.Release, Slots: r.Slots, Draining: r.Draining, ColdFor: r.WarmupLeft, Life: r.StartedMS,
+		Release: r.Release, Slots: r.Slots, Draining: r.Draining, WarmupLeft: r.WarmupLeft, StartedMS: r.StartedMS,
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 	return baobabstep.Registration{
 		ID: b.ID, Service: b.Service, Address: b.Address, DataCentre: b.DataCentre,
-		Release: b.Release, Slots: b.Slots, Draining: b.Draining, WarmupLeft: b.ColdFor, StartedMS: b.Life,
+		Release: b.Release, Slots: b.Slots, Draining: b.Draining, WarmupLeft: b.WarmupLeft, StartedMS: b.StartedMS,
 	}, nil
 }
 
--- a/core/heartbeat/version_test.go
+++ b/core/heartbeat/version_test.go
@@ -49,7 +49,7 @@
 	h := m.Heartbeat
 	qt.Assert(t, h.From, qt.Equals, baobabstep.VMID(7))
 	qt.Assert(t, h.Versions[Routes], qt.Equals, VersionInfo{Number: 9, Checksum: 8, AgeMS: 7})
-	qt.Assert(t, h.Loads, qt.DeepEquals, Loads{{Target: 5, RequestTenths: 7, Unanswered: 3, Opens: 1, HeardMS: 9, AnswerTenths: 40, FailedTenths: 30, LatencyMS: 20, Callers: 77, LastUnansweredMS: 78, Vanished: 2}, {Target: 9, RequestTenths: 2}})
+	qt.Assert(t, h.Loads, qt.DeepEquals, Loads{{Target: 5, RequestTenths: 7, Unanswered: 3, UnansweredOpens: 1, HeardMS: 9, AnswerTenths: 40, FailedTenths: 30, LatencyMS: 20, Callers: 77, LastUnansweredMS: 78, NotRetransmitted: 2}, {Target: 9, RequestTenths: 2}})
 }
 
 func TestPartOfALaterVersionIsNotMalformed(t *testing.T) {
@@ -74,14 +74,14 @@
 		{"heartbeat", recordedHeartbeat, Message{Version: 1, Heartbeat: &Heartbeat{
 			From: 7, DataCentre: "a", Incarnation: 1000, Sequence: 2, Leaving: true,
 			Versions: [chunkedKinds]VersionInfo{{Number: 9, Checksum: 8, AgeMS: 7}, {}},
-			Loads:    Loads{{Target: 5, RequestTenths: 7, Unanswered: 3, Opens: 1, HeardMS: 9, AnswerTenths: 40, FailedTenths: 30, LatencyMS: 20}, {Target: 9, RequestTenths: 2}},
+			Loads:    Loads{{Target: 5, RequestTenths: 7, Unanswered: 3, UnansweredOpens: 1, HeardMS: 9, AnswerTenths: 40, FailedTenths: 30, LatencyMS: 20}, {Target: 9, RequestTenths: 2}},
 			Peers:    []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:8166")},
 		}}},
 		{"want", recordedWant, Message{Version: 1, Request: &Request{Kind: Targets, Number: 5}}},
 		{"piece", recordedPiece, Message{Version: 1, Chunk: &Chunk{Kind: Targets, VersionInfo: VersionInfo{Number: 9}, ContentChecksum: 4, Index: 1, Count: 2, Data: []byte("xy")}}},
 		{"change", recordedChange, Message{Version: 1, Change: &Change{
 			Kind: Targets, BaseChecksum: 3, Result: VersionInfo{Number: 9, Checksum: 8}, IdleTimeout: time.Second, RemovedTargets: []baobabstep.TargetID{6},
-			Targets: []targetBody{{ID: 5, Service: "s", Address: netip.MustParseAddrPort("10.0.0.2:80"), DataCentre: "a", Slots: 2, Life: 12}},
+			Targets: []targetBody{{ID: 5, Service: "s", Address: netip.MustParseAddrPort("10.0.0.2:80"), DataCentre: "a", Slots: 2, StartedMS: 12}},
 		}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/core/heartbeat/view_test.go
+++ b/core/heartbeat/view_test.go
@@ -59,7 +59,7 @@
 
 type quotaVM struct {
 	n     int
-	board *PeerTable
+	peers *PeerTable
 	meter quota.Meter
 	// frozenUntil is the time until which the VM is suspended.
 	frozenUntil time.Time
@@ -75,7 +75,7 @@
 )
 
 func (f *quotaFleet) start(vm *quotaVM) {
-	vm.board = New(f.now, Options{
+	vm.peers = New(f.now, Options{
 		Self: baobabstep.VMID(100 + vm.n), DataCentre: "a", Address: address(vm.n + 1), Incarnation: uint64(f.now.UnixMilli()),
 		Seeds: []netip.AddrPort{address(1), address(2), address(3)}, Rand: rand.New(rand.NewPCG(f.random.Uint64(), 1)),
 	})
@@ -90,8 +90,8 @@
 		if !vm.isRunning(f.now) {
 			continue
 		}
-		if vm.board.HeartbeatsDue(f.now) {
-			for _, out := range vm.board.Tick(f.now, LocalState{}) {
+		if vm.peers.HeartbeatsDue(f.now) {
+			for _, out := range vm.peers.Tick(f.now, LocalState{}) {
 				f.deliver(vm, out)
 			}
 		}
@@ -100,7 +100,7 @@
 		if !vm.isRunning(f.now) {
 			continue
 		}
-		share := vm.board.View(f.now).ShareOf(42, f.limit)
+		share := vm.peers.View(f.now).ShareOf(42, f.limit)
 		for vm.meter.Allows(f.now, share) {
 			vm.meter.Record(f.now, share)
 			f.uses = append(f.uses, f.now)
@@ -119,7 +119,7 @@
 	if to >= len(f.vms) || !f.vms[to].isRunning(f.now) || f.partitioned[[2]int{from.n, to}] || f.random.Float64() < f.loss {
 		return
 	}
-	f.vms[to].board.Handle(f.now, address(from.n+1), out.Message.Heartbeat)
+	f.vms[to].peers.Handle(f.now, address(from.n+1), out.Message.Heartbeat)
 }
 
 func (f *quotaFleet) advance(d time.Duration) {
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -68,7 +68,7 @@
 	Second baobabstep.VMID
 }
 
-// Has tells whether vm is one of the owners.
+// Has reports whether vm is one of the owners.
 func (o Owners) Has(vm baobabstep.VMID) bool {
 	return vm != 0 && (vm == o.Holder || vm == o.Second)
 }
@@ -113,8 +113,8 @@
 	return best
 }
 
-// allowed tells whether name is in list or list is empty. Lists are short, so a
-// scan is faster than a map.
+// allowed reports whether name is in list or list is empty. Lists are short, so
+// a scan is faster than a map.
 func allowed(name string, list []string) bool {
 	for _, s := range list {
 		if s == name {
--- a/core/place/table.go
+++ b/core/place/table.go
@@ -210,7 +210,7 @@
 	return p
 }
 
-// compatible tells whether two members may own one slot together.
+// compatible reports whether two members may own one slot together.
 func (d *dataCentre) compatible(i, j uint16) bool {
 	return d.racks == 1 || d.members[i].rack != d.members[j].rack
 }
--- a/core/target/evidence.go
+++ b/core/target/evidence.go
@@ -58,7 +58,7 @@
 	serviceTime float64
 }
 
-// healthy tells whether the target may get work. Outcomes come first. A probe
+// healthy reports whether the target may get work. Outcomes come first. A probe
 // result counts if this VM or two other probers found it; a single other prober
 // may be cut off from just this target.
 func (h *health) healthy(now time.Time, e *entry) bool {
--- a/core/target/news.go
+++ b/core/target/news.go
@@ -79,13 +79,13 @@
 // needsSending then decides whether to send it before its turn in the rotation.
 func (e *entry) markChanged() { e.sent.changed = true }
 
-// probedUp tells whether this VM is a prober and had a good answer.
+// probedUp reports whether this VM is a prober and had a good answer.
 func (e *entry) probedUp() bool {
 	return e.health.prober && e.lastReport.known && e.health.goodProbes > 0
 }
 
-// needsSending tells whether the state differs enough from what was sent. Small
-// changes wait for the rotation: a step of 1/32 of the count is below the
+// needsSending reports whether the state differs enough from what was sent.
+// Small changes wait for the rotation: a step of 1/32 of the count is below the
 // spread that the choice between two random targets leaves anyway.
 func (e *entry) needsSending() bool {
 	if !e.sent.changed {
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// quarantined tells whether a VM with an older configuration may still take the
-// address for that of another service's target.
+// quarantined reports whether a VM with an older configuration may still take
+// the address for that of another service's target.
 func quarantined(c *baobabstep.Config, address netip.AddrPort, service baobabstep.ServiceID) bool {
 	for i := range c.Quarantine {
 		q := &c.Quarantine[i]
@@ -187,7 +187,7 @@
 	}
 }
 
-// tooManyUnhealthy tells whether the share of unhealthy targets exceeds what
+// tooManyUnhealthy reports whether the share of unhealthy targets exceeds what
 // the service allows: the evidence is then more likely wrong than the targets.
 func (p *pool) tooManyUnhealthy(now time.Time) bool {
 	candidates, bad := 0, 0
@@ -213,14 +213,14 @@
 	return false
 }
 
-// unreachable tells whether the target's data centre is cut off and no probe
+// unreachable reports whether the target's data centre is cut off and no probe
 // shows otherwise. A partition cuts off whole data centres, which must not
 // count as so many failures that panic mode starts.
 func (e *entry) unreachable() bool {
 	return !e.pool.ignoreReach && e.reg().cutOff(e.target.DataCentre) && !e.probedReachable()
 }
 
-// probedReachable tells whether a current probe reached the target. VMs of
+// probedReachable reports whether a current probe reached the target. VMs of
 // other data centres probe the targets of a data centre that has no VM.
 func (e *entry) probedReachable() bool {
 	if e.health.prober {
@@ -271,11 +271,11 @@
 	s.capacity += e.target.Connections
 }
 
-// excluded tells whether the target is out for a reason other than health.
+// excluded reports whether the target is out for a reason other than health.
 func (e *entry) excluded() bool { return e.removed || e.quarantined || e.isLeaving() }
 
-// wasEvaluated tells whether updateUsable has seen the target before; for a new
-// one configure starts the ramp.
+// wasEvaluated reports whether updateUsable has seen the target before; for a
+// new one configure starts the ramp.
 func (e *entry) wasEvaluated() bool { return e.health.evaluated }
 
 // updateLoad recomputes the estimate of open flows and the sums that include
--- a/core/target/target.go
+++ b/core/target/target.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// cutOff tells whether a data centre has no VM in the view. It may be across a
-// partition, and then its targets are unreachable too.
+// cutOff reports whether a data centre has no VM in the view. It may be across
+// a partition, and then its targets are unreachable too.
 func (r *Registry) cutOff(dataCentre string) bool {
 	reached := r.reachable.Load()
 	return reached != nil && len(*reached) > 0 && !(*reached)[dataCentre]
--- a/core/token/admission.go
+++ b/core/token/admission.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// admissionAimFraction is the mean answer time, as a fraction of the route's answer
-	// time limit (aim), above which ordinary flows are refused. Answer times in a queue
-	// vary so much that at a mean of 0.4 of the limit one answer in ten is late.
+	// admissionObjectiveFraction is the mean latency, as a fraction of the rule's latency
+	// objective, above which ordinary flows are refused. Latencies in a queue vary so much
+	// that at a mean of 0.4 of the objective one answer in ten is late.
 	//
 	// The limit is meant for loads that exceed the slots, with every queue full: a request
 	// admitted then waits behind a full queue, is late, and delays all others. A lower
 	// fraction would refuse flows under normal load.
-	admissionAimFraction = 0.3
-	// admissionUnloadedFactor is the ratio of the mean answer time to the unloaded answer
-	// time that has to be exceeded as well. Where the limit is close to the service time of
-	// a request, answers are late without any queue, and refusing flows does not help.
+	admissionObjectiveFraction = 0.3
+	// admissionUnloadedFactor is the ratio of the mean latency to the unloaded latency that
+	// has to be exceeded as well. Where the objective is close to the service time of a
+	// request, answers are late without any queue, and refusing flows does not help.
 	admissionUnloadedFactor = 1.5
 )
 
-// admits reports whether to accept a new flow of the rule, given the answer time of the
-// best target and the unloaded answer time of the service; draw is a random number.
+// admits reports whether to accept a new flow of the rule, given the latency at the best
+// target and the unloaded latency of the service; draw is a random number.
 //
-// The refused fraction grows with the answer time, so that just enough flows are admitted
-// to keep the answer time constant; admission then does not oscillate between all and none.
-// A refused caller learns at once that nothing ran, and may retry.
-func (r *rule) admits(answerTime, unloaded time.Duration, draw uint64) bool {
-	limit := max(admissionAimFraction*r.aim.Seconds(), admissionUnloadedFactor*unloaded.Seconds())
-	if !r.ordinary || r.aim <= 0 || unloaded <= 0 || answerTime.Seconds() <= limit {
+// The refused fraction grows with the latency, so that just enough flows are admitted to
+// keep the latency constant; admission then does not oscillate between all and none. A
+// refused caller learns at once that nothing ran, and may retry.
+func (r *rule) admits(latency, unloaded time.Duration, draw uint64) bool {
+	limit := max(admissionObjectiveFraction*r.latencyObjective.Seconds(), admissionUnloadedFactor*unloaded.Seconds())
+	if !r.ordinary || r.latencyObjective <= 0 || unloaded <= 0 || latency.Seconds() <= limit {
 		return true
 	}
-	return float64(draw)/math.MaxUint64 < limit/answerTime.Seconds()
+	return float64(draw)/math.MaxUint64 < limit/latency.Seconds()
 }
 
 // lowestPriorities returns, for each service, the priority value of its least urgent rule.
--- a/core/token/admission_test.go
+++ b/core/token/admission_test.go
@@ -13,28 +13,28 @@
 func TestAdmits(t *testing.T) {
 	const ms = time.Millisecond
 	for _, test := range []struct {
-		name             string
-		ordinary         bool
-		aim              time.Duration
-		answerTime, calm time.Duration
-		refused          float64 // expected fraction of refused flows
+		name              string
+		ordinary          bool
+		latencyObjective  time.Duration
+		latency, unloaded time.Duration
+		refused           float64 // expected fraction of refused flows
 	}{
 		{"unloaded service", true, 120 * ms, 28 * ms, 25 * ms, 0},
-		{"answers take twice the limit", true, 120 * ms, 72 * ms, 20 * ms, 0.5},
-		{"answers take four times the limit", true, 120 * ms, 144 * ms, 20 * ms, 0.75},
-		{"answers take four times the limit, urgent flow", false, 120 * ms, 144 * ms, 20 * ms, 0},
-		{"a time limit below the unloaded answer time", true, 20 * ms, 33 * ms, 25 * ms, 0},
-		{"a time limit below the unloaded answer time, and a queue", true, 20 * ms, 75 * ms, 25 * ms, 0.5},
-		{"a long time limit", true, 400 * ms, 110 * ms, 25 * ms, 0},
-		{"no time limit", true, 0, 900 * ms, 25 * ms, 0},
-		{"no unloaded answer time known yet", true, 120 * ms, 900 * ms, 0, 0},
+		{"latency of twice the limit", true, 120 * ms, 72 * ms, 20 * ms, 0.5},
+		{"latency of four times the limit", true, 120 * ms, 144 * ms, 20 * ms, 0.75},
+		{"latency of four times the limit, urgent flow", false, 120 * ms, 144 * ms, 20 * ms, 0},
+		{"an objective below the unloaded latency", true, 20 * ms, 33 * ms, 25 * ms, 0},
+		{"an objective below the unloaded latency, and a queue", true, 20 * ms, 75 * ms, 25 * ms, 0.5},
+		{"a long objective", true, 400 * ms, 110 * ms, 25 * ms, 0},
+		{"no objective", true, 0, 900 * ms, 25 * ms, 0},
+		{"no unloaded latency known yet", true, 120 * ms, 900 * ms, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := &rule{ordinary: test.ordinary, aim: test.aim}
+			r := &rule{ordinary: test.ordinary, latencyObjective: test.latencyObjective}
 			refused := 0
 			const draws = 1000
 			for i := range uint64(draws) {
-				if !r.admits(test.answerTime, test.calm, i*(math.MaxUint64/draws)) {
+				if !r.admits(test.latency, test.unloaded, i*(math.MaxUint64/draws)) {
 					refused++
 				}
 			}
--- a/core/token/answers.go
+++ b/core/token/answers.go
@@ -16,7 +16,7 @@
 	// counts as complete. Callers may delay the acknowledgement of a lone last packet by
 	// 40 ms, and targets retransmit after 200 ms; both cases are rare.
 	answerSettleDelay = 150 * time.Millisecond
-	// A request counts as unanswered after hangTimeFactor times the mean answer time of its
+	// A request counts as unanswered after hangTimeFactor times the mean latency of its
 	// service, but not before minHangTime, because callers retransmit after 0.2 s. In a
 	// queue of eight before two slots a request takes five times the mean.
 	hangTimeFactor = 10
@@ -31,24 +31,23 @@
 	// coldAnswers and warmAnswers are the answers of targets that were cold, and of the
 	// others.
 	coldAnswers, warmAnswers answer.Counter
-	// meanTime is the mean answer time at the last refresh, unloadedTime the mean answer
-	// time under light load, and coldSlowdown the ratio of the answer time of cold targets
-	// to that of warm ones.
-	meanTime, unloadedTime time.Duration
-	coldSlowdown           float64
+	// mean is the mean latency at the last refresh, unloaded the mean latency under light
+	// load, and coldSlowdown the ratio of the latency of cold targets to that of warm ones.
+	mean, unloaded time.Duration
+	coldSlowdown   float64
 	// lastUrgentAt is when the last flow came that is not ordinary.
 	lastUrgentAt time.Time
 }
 
 const (
 	// unloadedRiseRate is the fraction of the distance to the present mean by which the
-	// unloaded time rises at each refresh, ten times a second. A lasting increase is
+	// unloaded latency rises at each refresh, ten times a second. A lasting increase is
 	// adopted within minutes, while an overload of 30 s raises the value by a quarter of
 	// the difference.
 	unloadedRiseRate = 0.001
 	// minMeanAnswers is the number of answers from which the mean is used for the unloaded
-	// time and the slowdown of cold targets. The mean of fewer answers varies too much by
-	// chance.
+	// latency and the slowdown of cold targets. The mean of fewer answers varies too much
+	// by chance.
 	minMeanAnswers = 10
 )
 
@@ -63,15 +62,15 @@
 	}
 }
 
-// coldSlowdownFactor returns the ratio of the answer time of cold targets to that of warm
-// ones; 1 until enough answers of both were seen.
+// coldSlowdownFactor returns the ratio of the latency of cold targets to that of warm ones;
+// 1 until enough answers of both were seen.
 func (s *serviceStats) coldSlowdownFactor() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(1, s.coldSlowdown)
 }
 
-// refresh recomputes the mean times from the recent answers.
+// refresh recomputes the mean latencies from the recent answers.
 func (s *serviceStats) refresh(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,32 +78,32 @@
 	if sample.Latency <= 0 {
 		return
 	}
-	s.meanTime = sample.Latency
+	s.mean = sample.Latency
 	if cold, warm := s.coldAnswers.Sample(now), s.warmAnswers.Sample(now); min(cold.Answers, warm.Answers) >= minMeanAnswers && warm.Latency > 0 {
 		s.coldSlowdown = cold.Latency.Seconds() / warm.Latency.Seconds()
 	}
 	switch {
 	case sample.Answers < minMeanAnswers:
-	case s.unloadedTime == 0 || s.meanTime < s.unloadedTime:
-		s.unloadedTime = s.meanTime
+	case s.unloaded == 0 || s.mean < s.unloaded:
+		s.unloaded = s.mean
 	default:
-		s.unloadedTime += time.Duration(unloadedRiseRate * float64(s.meanTime-s.unloadedTime))
+		s.unloaded += time.Duration(unloadedRiseRate * float64(s.mean-s.unloaded))
 	}
 }
 
-// unloadedAnswerTime returns the mean answer time under light load, 0 until enough answers
-// were seen.
-func (s *serviceStats) unloadedAnswerTime() time.Duration {
+// unloadedLatency returns the mean latency under light load, 0 until enough answers were
+// seen.
+func (s *serviceStats) unloadedLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.unloadedTime
+	return s.unloaded
 }
 
-// meanAnswerTime returns the mean answer time, 0 until an answer was seen.
-func (s *serviceStats) meanAnswerTime() time.Duration {
+// meanLatency returns the mean latency, 0 until an answer was seen.
+func (s *serviceStats) meanLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.meanTime
+	return s.mean
 }
 
 // serviceRegistry holds the statistics of every service that ever had a target.
@@ -148,8 +147,8 @@
 	if f.rule.answerSizes.Add(acked - f.requestAcked) {
 		outcome = answer.Short
 	}
-	if outcome == answer.Answered && f.answerTime == 0 {
-		return // acknowledged together with the next request, so the answer time is unknown
+	if outcome == answer.Answered && f.latency == 0 {
+		return // acknowledged together with the next request, so the latency is unknown
 	}
 	r.countOutcome(now, f, outcome)
 }
@@ -166,7 +165,7 @@
 		}
 		return
 	}
-	if now.Sub(f.requestSentAt) >= max(hangTimeFactor*f.target.service.meanAnswerTime(), minHangTime) {
+	if now.Sub(f.requestSentAt) >= max(hangTimeFactor*f.target.service.meanLatency(), minHangTime) {
 		f.outcomePending = false
 		r.countOutcome(now, f, answer.Unanswered)
 	}
@@ -175,8 +174,8 @@
 // countOutcome records the outcome of a request.
 func (r *Router) countOutcome(now time.Time, f *flow, outcome answer.Outcome) {
 	r.counts.outcomes[outcome].Add(1)
-	if f.target.load.addOutcome(now, outcome, callerHash(f.key), f.answerTime) {
-		f.target.service.addOutcome(now, outcome, f.answerTime, now.Before(f.target.coldUntil))
+	if f.target.load.addOutcome(now, outcome, callerHash(f.key), f.latency) {
+		f.target.service.addOutcome(now, outcome, f.latency, now.Before(f.target.coldUntil))
 	}
 	if outcome != answer.Answered {
 		r.scheduleReview(f.target)
@@ -207,7 +206,7 @@
 }
 
 // trialInterval returns the time between two flows of this VM to a target on trial, so that
-// the VMs of its data centre together send one flow each answer.TrialGap.
+// the VMs of its data centre together send one flow each answer.TrialInterval.
 func (r *Router) trialInterval() time.Duration {
 	return answer.TrialInterval * time.Duration(r.vmCount())
 }
@@ -225,7 +224,7 @@
 	for _, t := range r.takePendingReviews(s) {
 		name := t.registration.Service
 		if _, known := peers[name]; !known {
-			peers[name] = r.peerFailureShare(now, s.pools[name])
+			peers[name] = r.peerFailureRate(now, s.pools[name])
 		}
 		changed, verdict, e := t.load.updateVerdict(now, peers[name], r.enabled(MechanismTrials))
 		if changed {
@@ -251,9 +250,9 @@
 // maxPeerSamples bounds the number of targets whose answers are compared with one another.
 const maxPeerSamples = 64
 
-// peerFailureShare returns the usual share of failures among targets of a pool. It uses
-// only answers seen by this VM, since other VMs report only targets that stand out.
-func (r *Router) peerFailureShare(now time.Time, p *pool) float64 {
+// peerFailureRate returns the usual failure rate among targets of a pool. It uses only
+// answers seen by this VM, since the loads of other VMs have only targets that stand out.
+func (r *Router) peerFailureRate(now time.Time, p *pool) float64 {
 	if p == nil {
 		return 0
 	}
@@ -264,9 +263,8 @@
 	return answer.UsualFailureRate(samples)
 }
 
-// answerTime returns the mean answer time of the target, over this VM and the reports of
-// other VMs.
-func (l *load) answerTime(now time.Time) time.Duration {
+// latency returns the mean latency of the target, over this VM and the loads of other VMs.
+func (l *load) latency(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tally.Sample(now).Merge(l.otherAnswers).Latency
@@ -279,8 +277,8 @@
 	return l.tally.Sample(now)
 }
 
-// updateVerdict updates the verdict on the target; peers is the usual share of failures in
-// its service.
+// updateVerdict updates the verdict on the target; peers is the usual failure rate in its
+// service.
 func (l *load) updateVerdict(now time.Time, peers float64, trials bool) (changed bool, verdict answer.Health, e answer.Observations) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/token/avoid_test.go
+++ b/core/token/avoid_test.go
@@ -32,7 +32,7 @@
 		{"one VM, whose link is full", []baobabstep.SilenceReport{manyOfOne}, time.Hour, false, true},
 		{"three VMs, but one report has expired", []baobabstep.SilenceReport{repeated, opened, old}, time.Hour, false, true},
 		{"three VMs, but a fourth has heard from it since", []baobabstep.SilenceReport{repeated, opened, opened}, 100 * time.Millisecond, false, false},
-		{"three VMs, a fourth heard from it before", []baobabstep.SilenceReport{repeated, opened, opened}, callerCopyDelay, true, true},
+		{"three VMs, a fourth heard from it before", []baobabstep.SilenceReport{repeated, opened, opened}, callerRetransmissionDelay, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := health{reports: test.reports, othersHeardAt: now.Add(-test.heardAgo)}
@@ -113,7 +113,7 @@
 		l.health.reports = silenceReports(2, 1, now)
 		l.startAvoidance(now, 10, 0.5)
 		r.noteAnswer(later, r.current.Load().targets[1])
-		told := r.TakeUrgentReports(later)
+		told := r.TakeAlarms(later)
 		qt.Assert(t, told, qt.HasLen, 1)
 		qt.Assert(t, told[0].HeardAt, qt.Equals, later)
 		qt.Assert(t, told[0].ReportedSilent, qt.IsTrue)
--- a/core/token/choose.go
+++ b/core/token/choose.go
@@ -37,14 +37,14 @@
 		limit = s.coldLimits[p.targets[0].registration.Service]
 	}
 	start := int(r.randomUint64() % uint64(len(p.targets)))
-	best, answerTime := r.bestCandidate(now, route, p.window(start, maxScannedTargets, limit), previous)
+	best, latency := r.bestCandidate(now, route, p.window(start, maxScannedTargets, limit), previous)
 	if best == nil && len(p.targets) > maxScannedTargets {
-		best, answerTime = r.bestCandidate(now, route, p.window(start, len(p.targets), limit), previous)
+		best, latency = r.bestCandidate(now, route, p.window(start, len(p.targets), limit), previous)
 	}
 	if best == nil || p.find(h, tokenFor(h, best.id)) == nil {
 		return nil, false // two targets have the same token; the caller's next try uses another port
 	}
-	return best, !r.enabled(MechanismAdmission) || route.admits(answerTime, best.service.unloadedAnswerTime(), r.randomUint64())
+	return best, !r.enabled(MechanismAdmission) || route.admits(latency, best.service.unloadedLatency(), r.randomUint64())
 }
 
 // poolWindow is a part of a pool: count targets from index start, wrapping around at the
@@ -81,8 +81,8 @@
 
 // bestCandidate returns the target of a window that a new flow should go to: one that is
 // not suspect, in a reachable data centre and not the previous try; if there is none, it
-// drops these criteria one by one. answerTime is the target's service time.
-func (r *Router) bestCandidate(now time.Time, route *rule, window poolWindow, previous *target) (best *target, answerTime time.Duration) {
+// drops these criteria one by one. latency is the estimated latency at the target.
+func (r *Router) bestCandidate(now time.Time, route *rule, window poolWindow, previous *target) (best *target, latency time.Duration) {
 	var space [maxScannedTargets]candidate
 	list := r.collectCandidates(now, window, previous, space[:0])
 	if window.limit != nil && len(list) > 0 {
@@ -113,12 +113,12 @@
 }
 
 // ownWeightHalfPoint is the number of own recent requests for each candidate at which a
-// VM's own requests and the reports of all VMs have equal weight in the load estimate.
+// VM's own requests and the loads of all VMs have equal weight in the load estimate.
 //
-// Reports of other VMs are late: all VMs choose the target that was idle, until they learn
+// Loads of other VMs arrive late: all VMs choose the target that was idle, until they learn
 // of each other's requests. A VM that sends several requests to each target gets a better
 // estimate from its own requests, on the assumption that the other VMs behave alike. In a
-// large fleet a VM sends less than one request to a target and needs the reports: one
+// large fleet a VM sends less than one request to a target and needs their loads: one
 // request more or less, multiplied by the number of VMs, would outweigh remotePenalty, and
 // flows would go to other data centres without need, where a partition breaks them.
 const ownWeightHalfPoint = 4.0
@@ -242,7 +242,7 @@
 	sum, n := 0.0, 0
 	for i := range list {
 		if list[i].assessment.answers >= 1 {
-			sum += list[i].assessment.answerTime
+			sum += list[i].assessment.latency
 			n++
 		}
 	}
--- a/core/token/choose_test.go
+++ b/core/token/choose_test.go
@@ -71,7 +71,7 @@
 		r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(uint64(vm), 2))})
 		r.SetTable(start, table(1, singleRule(fixtures, "fixtures")))
 		r.SetRegistrations(start, manyTargets(targets-1))
-		r.SetReports(start, others, nil)
+		r.SetPeerLoads(start, others, nil)
 		r.ChangeRegistrations(joined, manyTargets(targets)[targets-1:], nil)
 		got += openMany(t, r, joined, 1000, flowsEach)[targets]
 	}
@@ -123,7 +123,7 @@
 // targets, so they seem idle; flows that spilled over there were all lost.
 func TestUnreachableDataCentreGetsNoFlows(t *testing.T) {
 	r := newRouter(t)
-	r.SetReports(start, nil, nil)
+	r.SetPeerLoads(start, nil, nil)
 	qt.Assert(t, openMany(t, r, start, 1, 200)[2], qt.Equals, 0)
 
 	t.Run("unless the VM's own data centre has no target", func(t *testing.T) {
@@ -135,16 +135,16 @@
 
 // Guards against ignoring the load from other VMs. Local targets are busier than those of
 // another data centre because of requests of other VMs. Ten VMs that have sent nothing
-// themselves place a flow each and depend on the reports alone.
+// themselves place a flow each and depend on the loads alone.
 func TestLoadOfOtherVMsCounts(t *testing.T) {
 	for range 10 {
 		r := newRouter(t)
-		r.SetReports(start, map[baobabstep.TargetID]baobabstep.TargetLoad{1: {Requests: 100}}, map[string]int{"b": 1})
+		r.SetPeerLoads(start, map[baobabstep.TargetID]baobabstep.TargetLoad{1: {Requests: 100}}, map[string]int{"b": 1})
 		qt.Assert(t, openMany(t, r, start, 1, 1)[2], qt.Equals, 1)
 	}
 }
 
-// Guards against overloading a target that seems idle in the reports, which are late. A VM
+// Guards against overloading a target that seems idle in the loads, which are late. A VM
 // that sends many requests to each target relies on its own counts, so the target gets its
 // share from each VM instead of every new flow of all VMs.
 func TestVMWithManyRequestsUsesOwnLoad(t *testing.T) {
@@ -152,7 +152,7 @@
 	r.SetRegistrations(start, manyTargets(4))
 	openMany(t, r, start, 1, 200)
 	others := map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 50}, 3: {Requests: 50}, 4: {Requests: 50}}
-	r.SetReports(start, others, map[string]int{"a": 3})
+	r.SetPeerLoads(start, others, map[string]int{"a": 3})
 	got := openMany(t, r, start.Add(time.Second), 1000, 40)
 	qt.Assert(t, got[1] <= 12, qt.IsTrue, qt.Commentf("%v", got))
 
@@ -161,7 +161,7 @@
 		r.SetTable(start, table(1, singleRule(fixtures, "fixtures")))
 		r.SetRegistrations(start, manyTargets(4))
 		openMany(t, r, start, 1, 200)
-		r.SetReports(start, others, map[string]int{"a": 3})
+		r.SetPeerLoads(start, others, map[string]int{"a": 3})
 		qt.Assert(t, openMany(t, r, start.Add(time.Second), 1000, 40)[1], qt.Equals, 20) // every other flow avoids it as the caller's previous try
 	})
 }
--- a/core/token/cold.go
+++ b/core/token/cold.go
@@ -21,7 +21,7 @@
 	for _, c := range table.ColdLimits {
 		l := &coldLimit{
 			Limit:    quota.Limit{PerSecond: c.PerSecond, Bound: c.PerSecond*o.ColdOvershoot + o.ColdSlack},
-			duration: c.Lasts,
+			duration: c.Duration,
 		}
 		if old := before[c.Service]; old != nil && *old == *l {
 			l = old
--- a/core/token/cold_test.go
+++ b/core/token/cold_test.go
@@ -15,7 +15,7 @@
 // for four seconds.
 func coldTable(version uint64) *baobabstep.RoutingTable {
 	t := table(version, singleRule(fixtures, "fixtures"))
-	t.ColdLimits = []baobabstep.ColdLimit{{Service: "fixtures", PerSecond: 2, Lasts: 4 * time.Second}}
+	t.ColdLimits = []baobabstep.ColdLimit{{Service: "fixtures", PerSecond: 2, Duration: 4 * time.Second}}
 	return t
 }
 
@@ -30,7 +30,7 @@
 	r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2)), ColdOvershoot: 1.5, ColdSlack: 5})
 	r.SetTable(start, coldTable(1))
 	r.SetRegistrations(start, targets)
-	r.SetReports(start, nil, map[string]int{"b": 1})
+	r.SetPeerLoads(start, nil, map[string]int{"b": 1})
 	r.SetView(&quota.View{Self: 1, Settled: true})
 	return r
 }
@@ -88,7 +88,7 @@
 		{"a VM whose view is not settled has no share", []baobabstep.Registration{cold(1, "a", 9*time.Second)}, func(r *Router) {
 			r.SetView(&quota.View{Self: 1})
 		}},
-		{"it becomes cold in the same run", []baobabstep.Registration{registration(1, "fixtures", "a")}, func(r *Router) {
+		{"it becomes cold in the same incarnation", []baobabstep.Registration{registration(1, "fixtures", "a")}, func(r *Router) {
 			r.SetRegistrations(later, []baobabstep.Registration{cold(1, "a", 3*time.Second)})
 			r.SetView(&quota.View{Self: 1})
 		}},
@@ -159,7 +159,7 @@
 	ordinary := singleRule(fixtures, "fixtures")
 	ordinary.Repeatable, ordinary.Priority = true, 2
 	table := table(1, urgent, ordinary)
-	table.ColdLimits = []baobabstep.ColdLimit{{Service: "fixtures", PerSecond: 6, Lasts: time.Minute}}
+	table.ColdLimits = []baobabstep.ColdLimit{{Service: "fixtures", PerSecond: 6, Duration: time.Minute}}
 	r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2)), ColdOvershoot: 1.5, ColdSlack: 5})
 	r.SetTable(start, table)
 	r.SetRegistrations(start, []baobabstep.Registration{cold(1, "a", time.Minute), cold(2, "a", time.Minute)})
--- a/core/token/evacuation_test.go
+++ b/core/token/evacuation_test.go
@@ -43,7 +43,7 @@
 		r.SetRegistrations(start, append(threeTargets(), registration(5, "fixtures", "a")))
 		assertPlaced(t, r, start, 300, 2)
 	})
-	t.Run("copy of a first segment moves to another data centre", func(t *testing.T) {
+	t.Run("retransmitted first segment moves to another data centre", func(t *testing.T) {
 		r := newRouter(t)
 		key := flowFrom(1, fixtures)
 		open(t, r, start, key)
@@ -53,7 +53,7 @@
 	})
 	t.Run("until the evacuation ends", func(t *testing.T) {
 		r.SetEvacuations(start, nil)
-		r.SetReports(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, map[string]int{"b": 1})
+		r.SetPeerLoads(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, map[string]int{"b": 1})
 		assertPlaced(t, r, start, 400, 1, 5)
 	})
 }
--- a/core/token/event.go
+++ b/core/token/event.go
@@ -15,9 +15,9 @@
 const (
 	// EventPlaced: a new flow was sent to a target chosen for it.
 	EventPlaced EventKind = iota // flow_placed
-	// EventRepeated: a copy of a first segment was sent to the same target.
+	// EventRepeated: a retransmitted first segment was sent to the same target.
 	EventRepeated // flow_repeated
-	// EventMoved: a copy of a first segment was sent to another target.
+	// EventMoved: a retransmitted first segment was sent to another target.
 	EventMoved // flow_moved
 	// EventRefused: there was no target for a new flow; the caller was reset.
 	EventRefused // flow_refused
@@ -59,9 +59,9 @@
 	// force.
 	Rule, Service string
 	Version       uint64
-	// AnswerTime is the target's mean answer time and Aim the limit on it, for a flow
-	// refused under overload.
-	AnswerTime, Aim time.Duration
+	// Latency is the target's mean latency and LatencyObjective that of the rule, for a
+	// flow refused under overload.
+	Latency, LatencyObjective time.Duration
 	// Known, Draining, Gone and Evacuated count the targets of the service, where none
 	// could take a new flow.
 	Known, Draining, Gone, Evacuated int
@@ -78,11 +78,10 @@
 	// was.
 	SinceHeard time.Duration
 	// Answers and Failed are the recent answers of the target to all VMs, and
-	// PeerFailureShare the usual share of failures in its service, for changes of a
-	// verdict; FailedCallers is a lower bound on the number of callers whose requests
-	// failed.
-	Answers, Failed, PeerFailureShare float64
-	FailedCallers                     int
+	// PeerFailureRate the usual failure rate in its service, for changes of a verdict;
+	// FailedCallers is a lower bound on the number of callers whose requests failed.
+	Answers, Failed, PeerFailureRate float64
+	FailedCallers                    int
 }
 
 // FlowName returns the name of a flow in logs: its caller and the service address.
@@ -106,7 +105,7 @@
 		e.countTargets(now, s, route)
 	}
 	if kind == EventNoRoom {
-		e.AnswerTime, e.Aim = t.load.answerTime(now), route.aim
+		e.Latency, e.LatencyObjective = t.load.latency(now), route.latencyObjective
 	}
 	if t != nil {
 		e.Target, e.Service, e.DataCentre = t.id, t.registration.Service, t.registration.DataCentre
@@ -154,7 +153,7 @@
 	}
 	e := r.newEvent(now, kind, s, nil, t, nil)
 	e.Answers, e.Failed = evidence.Target.Answers, evidence.Target.Failed
-	e.PeerFailureShare, e.FailedCallers = evidence.PeerFailureRate, evidence.FailedCallers.Count()
+	e.PeerFailureRate, e.FailedCallers = evidence.PeerFailureRate, evidence.FailedCallers.Count()
 	r.options.Record(now, e)
 }
 
--- a/core/token/fleet_model_test.go
+++ b/core/token/fleet_model_test.go
@@ -12,7 +12,7 @@
 )
 
 // fleetModel simulates a fleet of routers with callers and targets in virtual time. Callers
-// follow the protocol: they send a copy after 200 ms without a reply, repeat a request
+// follow the protocol: they retransmit after 200 ms without a reply, repeat a request
 // after 200 ms, and use a new port for each try.
 type fleetModel struct {
 	t       *rapid.T
@@ -139,13 +139,13 @@
 	m.port++
 	name := []string{"a", "b"}[m.random.IntN(2)]
 	f := &modelFlow{key: flowFrom(m.port, modelAddresses[name].Service), seq: m.random.Uint32(), address: name}
-	for copies := range uint32(3) {
-		out := m.send(f, baobabstep.Segment{Kind: baobabstep.KindOpen, Seq: f.seq, Acked: copies})
+	for retransmissions := range uint32(3) {
+		out := m.send(f, baobabstep.Segment{Kind: baobabstep.KindOpen, Seq: f.seq, Acked: retransmissions})
 		if out == nil || out.Target == 0 {
 			return
 		}
 		t := m.targets[out.Target]
-		if copies == 0 && t.registration.Draining && t.registered {
+		if retransmissions == 0 && t.registration.Draining && t.registered {
 			m.t.Fatalf("a new flow went to target %d, which drains", out.Target)
 		}
 		if !t.silent {
@@ -225,7 +225,7 @@
 			var ended []baobabstep.OutgoingDatagram
 			r.Tick(m.now, &ended)
 			m.checkEnded(ended)
-			r.SetReports(m.now, nil, nil)
+			r.SetPeerLoads(m.now, nil, nil)
 		}
 	}
 }
--- a/core/token/flow.go
+++ b/core/token/flow.go
@@ -14,8 +14,8 @@
 	target *target
 	// opening is set until a packet after the first one arrives.
 	opening bool
-	// copySeen is set once a copy of the first segment arrived.
-	copySeen bool
+	// retransmitted is set once the first segment was retransmitted.
+	retransmitted bool
 	// closed is set once the caller closed or reset the flow. The record is kept for
 	// closedRetention, so that late packets do not count as another flow.
 	closed bool
@@ -24,7 +24,7 @@
 	// requestSentAt is when the first segment, or the latest request after it, went to the
 	// target.
 	requestSentAt time.Time
-	// timingPending is set until the time of the latest request is measured, at the next
+	// timingPending is set until the latency of the latest request is measured, at the next
 	// segment that acknowledges more and carries no payload. A segment that carries the
 	// next request may be sent long after the answer.
 	timingPending bool
@@ -37,14 +37,14 @@
 	key baobabstep.FlowKey
 	// rule is the rule of the flow's address when the record was made.
 	rule *rule
-	// outcomePending is set until the outcome of the latest request is known. answerTime is
+	// outcomePending is set until the outcome of the latest request is known. latency is
 	// the time until its answer began, 0 until then, and lastProgressAt is when a part of
 	// the answer was last acknowledged.
 	outcomePending bool
 	// answerPending is set until a part of the answer to the latest request is
 	// acknowledged, even if the outcome was counted before.
 	answerPending  bool
-	answerTime     time.Duration
+	latency        time.Duration
 	lastProgressAt time.Time
 	// acked is how far the caller has acknowledged its target's answers, and requestAcked
 	// how far it had when it sent its latest request. A caller that sends payload after
@@ -104,14 +104,14 @@
 const closedRetention = time.Second
 
 // vanishTimeout is how long after its first segment, without any further packet, a flow
-// counts as refused by its target. Callers that got no reply send a copy after 200 ms, and
+// counts as refused by its target. Callers that got no reply retransmit after 200 ms, and
 // callers whose flow was accepted continue at once.
 const vanishTimeout = 300 * time.Millisecond
 
 // markVanished reports whether the flow's target seems to have refused it. It returns true
 // only once for a flow.
 func (f *flow) markVanished(now time.Time) bool {
-	if !f.opening || f.countedUnanswered || f.copySeen || now.Sub(f.requestSentAt) < vanishTimeout {
+	if !f.opening || f.countedUnanswered || f.retransmitted || now.Sub(f.requestSentAt) < vanishTimeout {
 		return false
 	}
 	f.countedUnanswered = true
--- a/core/token/follow.go
+++ b/core/token/follow.go
@@ -7,15 +7,15 @@
 	"baobabstep/core/answer"
 )
 
-// shouldMove reports whether a copy of a first segment should go to another target than the
-// first one did. It also counts the flow against its target.
+// shouldMove reports whether a retransmitted first segment should go to another target than
+// before. It also counts the flow against its target.
 //
 // If the first target answered after all, the caller would have a flow at one target and
 // the token of another. So a flow moves only if other flows found the target silent as
 // well, or found it silent earlier and it has not been heard from since. An answer arrives
-// within milliseconds, the copy 200 ms later.
+// within milliseconds, a retransmission 200 ms later.
 func (r *Router) shouldMove(now time.Time, s *snapshot, f *flow) bool {
-	if now.Sub(f.requestSentAt) < minCopyDelay {
+	if now.Sub(f.requestSentAt) < minRetransmissionDelay {
 		return false
 	}
 	if !f.countedUnanswered {
@@ -23,7 +23,7 @@
 		r.noteUnanswered(now, f, openRepeated)
 	}
 	present := s.targets[f.target.id]
-	return !f.target.sameRun(present) || !present.acceptsNewFlows(now) || f.target.load.suspect(now) || f.target.load.unheardSinceAvoided()
+	return !f.target.sameIncarnation(present) || !present.acceptsNewFlows(now) || f.target.load.suspect(now) || f.target.load.unheardSinceAvoided()
 }
 
 // noteAnswer records that a target was heard from.
@@ -36,7 +36,7 @@
 		r.record(now, EventHeard, r.current.Load(), nil, t, nil)
 	}
 	if disputed {
-		r.urgentReports.add(t.id)
+		r.alarms.add(t.id)
 	}
 }
 
@@ -54,7 +54,7 @@
 	t.load.noteUnanswered(now, kind)
 	r.record(now, EventSilent, r.current.Load(), nil, t, nil)
 	r.avoidIfRefusing(now, t)
-	r.urgentReports.add(t.id)
+	r.alarms.add(t.id)
 }
 
 // maxHearingAge is how recently another target of the service must have been heard from for
@@ -82,8 +82,8 @@
 
 // endStrandedFlow resets a flow whose request is at a target that has become unreachable,
 // and reports whether it did. If the target acknowledged the request, the caller sends no
-// copy that the VM could answer with a reset, and waits for its timeout: 2 s for an answer
-// that takes 30 ms.
+// retransmission that the VM could answer with a reset, and waits for its timeout: 2 s for
+// an answer that takes 30 ms.
 func (r *Router) endStrandedFlow(now time.Time, s *snapshot, f *flow, out *[]baobabstep.OutgoingDatagram) bool {
 	if !f.answerPending || f.opening || f.closed || !r.enabled(MechanismEndFlows) {
 		return false
@@ -111,7 +111,7 @@
 	switch {
 	case f == nil:
 		shard.add(p.Flow, newAdoptedFlow(now, t, route, p))
-	case !f.target.sameRun(t):
+	case !f.target.sameIncarnation(t):
 		// Either the flow was opened at another target than the one this VM last sent it
 		// to, or the target has restarted and will tell the caller that the flow is gone.
 		r.noteAnswer(now, t)
@@ -141,9 +141,9 @@
 	}
 	if progress && !f.opening && f.timingPending && p.Size == 0 {
 		f.timingPending = false
-		f.answerTime = now.Sub(f.requestSentAt)
+		f.latency = now.Sub(f.requestSentAt)
 		if r.options.ObserveRequestTime != nil {
-			r.options.ObserveRequestTime(f.answerTime)
+			r.options.ObserveRequestTime(f.latency)
 		}
 	}
 	if f.opening {
@@ -163,7 +163,7 @@
 			f.beginRequest(now)
 			f.target.load.countRequest(now)
 		}
-	} else if p.Size > 0 && !progress && !f.countedUnanswered && now.Sub(f.requestSentAt) >= minCopyDelay {
+	} else if p.Size > 0 && !progress && !f.countedUnanswered && now.Sub(f.requestSentAt) >= minRetransmissionDelay {
 		f.countedUnanswered = true
 		r.noteUnanswered(now, f, requestRepeated)
 	}
@@ -182,7 +182,7 @@
 
 // beginRequest records the start of a request.
 func (f *flow) beginRequest(now time.Time) {
-	f.requestSentAt, f.timingPending, f.outcomePending, f.answerPending, f.answerTime = now, true, true, true, 0
+	f.requestSentAt, f.timingPending, f.outcomePending, f.answerPending, f.latency = now, true, true, true, 0
 }
 
 // seqAfter reports whether sequence number a comes after b, modulo 2^32.
--- a/core/token/health.go
+++ b/core/token/health.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// minCopyDelay is the least time between a first segment and its copy, or between a
-	// request and its repetition, for the copy to count as evidence against the target.
-	// Callers retransmit after 200 ms; a copy that was delayed in this VM's own socket
+	// minRetransmissionDelay is the least time between a first segment or a request and its
+	// retransmission for the latter to count as evidence against the target. Callers
+	// retransmit after 200 ms; a retransmission that was delayed in this VM's own socket
 	// buffer arrives right after the original.
-	minCopyDelay = 150 * time.Millisecond
+	minRetransmissionDelay = 150 * time.Millisecond
 	// suspectThreshold is the number of consecutive unanswered flows from which a target
 	// gets no new flows. A single one may be a lost datagram.
 	suspectThreshold = 2
@@ -68,7 +68,7 @@
 	// heardAt is when this VM last heard from the target, unansweredAt when the target last
 	// left a flow unanswered.
 	heardAt, unansweredAt time.Time
-	// knownSince is when this run of the target was registered.
+	// knownSince is when this incarnation of the target was registered.
 	knownSince time.Time
 	// trialAt is when a suspect target may get one flow, trialPause the time from then
 	// until the next trial.
@@ -122,15 +122,16 @@
 	return needsProbe
 }
 
-// callerCopyDelay is the time after which callers retransmit a segment. A target that any
-// VM heard from after the unanswered segment was first sent is alive.
-const callerCopyDelay = 200 * time.Millisecond
+// callerRetransmissionDelay is the time after which callers retransmit a segment. A target
+// that any VM heard from after the unanswered segment was first sent is alive.
+const callerRetransmissionDelay = 200 * time.Millisecond
 
-// newRunGrace is how long reports of other VMs against a newly registered target are
-// ignored. A target that restarts under its identifier was silent before the restart. VMs
-// that have not learned of the new run report the silence for one more heartbeat plus the
-// propagation time of registrations, which grows with the number of VMs that take turns.
-const newRunGrace = time.Second
+// newIncarnationGrace is how long reports of other VMs against a newly registered target
+// are ignored. A target that restarts under its identifier was silent before the restart.
+// VMs that do not know the new incarnation report the silence for one more heartbeat plus
+// the propagation time of registrations, which grows with the number of VMs that take
+// turns.
+const newIncarnationGrace = time.Second
 
 // silenceSummary combines the reports of other VMs of the data centre on a target.
 type silenceSummary struct {
@@ -143,11 +144,11 @@
 // summariseReports returns the sum of the other VMs' fresh reports, without those that are
 // older than the latest sign of life from the target.
 func (h *health) summariseReports(now time.Time) (sum silenceSummary) {
-	if now.Sub(h.knownSince) < newRunGrace {
+	if now.Sub(h.knownSince) < newIncarnationGrace {
 		return silenceSummary{}
 	}
 	for _, r := range h.reports {
-		sentAt := r.LastUnansweredAt.Add(-callerCopyDelay)
+		sentAt := r.LastUnansweredAt.Add(-callerRetransmissionDelay)
 		if now.Sub(r.LastUnansweredAt) >= evidenceLifetime || h.heardAt.After(sentAt) || h.othersHeardAt.After(sentAt) {
 			continue
 		}
@@ -203,7 +204,7 @@
 		return false
 	case now.Sub(h.unansweredAt) >= evidenceLifetime:
 		return false
-	case h.othersHeardAt.After(h.unansweredAt.Add(-minCopyDelay)):
+	case h.othersHeardAt.After(h.unansweredAt.Add(-minRetransmissionDelay)):
 		return false // the target answered another VM while it seemed silent here
 	case others.vms == 0 && !alone:
 		return false
--- a/core/token/health_test.go
+++ b/core/token/health_test.go
@@ -9,8 +9,8 @@
 	"baobabstep"
 )
 
-// sendCopy sends a copy of a flow's first segment and returns the target it went to.
-func sendCopy(t testing.TB, r *Router, now time.Time, key baobabstep.FlowKey) baobabstep.TargetID {
+// retransmit sends a flow's first segment again and returns the target it went to.
+func retransmit(t testing.TB, r *Router, now time.Time, key baobabstep.FlowKey) baobabstep.TargetID {
 	t.Helper()
 	out := handle(r, now, baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq, Acked: 1})
 	qt.Assert(t, out, qt.HasLen, 1)
@@ -30,13 +30,13 @@
 		flows[target] = append(flows[target], key)
 	}
 	later := start.Add(200 * time.Millisecond)
-	qt.Assert(t, sendCopy(t, r, later, flows[1][0]), qt.Equals, baobabstep.TargetID(1))
-	qt.Assert(t, sendCopy(t, r, later, flows[1][1]), qt.Not(qt.Equals), baobabstep.TargetID(1))
+	qt.Assert(t, retransmit(t, r, later, flows[1][0]), qt.Equals, baobabstep.TargetID(1))
+	qt.Assert(t, retransmit(t, r, later, flows[1][1]), qt.Not(qt.Equals), baobabstep.TargetID(1))
 	return r, 1, later
 }
 
 // Guards against sending new flows to a crashed target until its registration lapses
-// seconds later, which would cost each caller its timeout. Callers repeat their first
+// seconds later, which would cost each caller its timeout. Callers retransmit their first
 // packets after 200 ms. The second unanswered flow moves to another target, and new flows
 // avoid the silent one.
 func TestSilentTargetGetsNoNewFlows(t *testing.T) {
@@ -70,17 +70,17 @@
 	})
 }
 
-// Guards against moving a flow because of a copy that was queued in this VM's socket
-// together with the first packet. The target has had no time to answer, so the copy is no
-// evidence against it, and a move would leave the flow open at one target with the token of
-// another.
-func TestEarlyCopyDoesNotMoveFlow(t *testing.T) {
+// Guards against moving a flow because of a retransmission that was queued in this VM's
+// socket together with the first packet. The target has had no time to answer, so this is
+// no evidence against it, and a move would leave the flow open at one target with the token
+// of another.
+func TestEarlyRetransmissionDoesNotMoveFlow(t *testing.T) {
 	r, silent, now := newRouterWithSilentTarget(t)
 	r.SetRegistrations(now, []baobabstep.Registration{registration(silent, "fixtures", "a")})
 	key := flowFrom(500, fixtures)
 	open(t, r, now, key)
 	r.SetRegistrations(now, manyTargets(4))
-	qt.Assert(t, sendCopy(t, r, now.Add(minCopyDelay-1), key), qt.Equals, silent)
+	qt.Assert(t, retransmit(t, r, now.Add(minRetransmissionDelay-1), key), qt.Equals, silent)
 }
 
 // Guards against refusing all flows because this VM's own link, or that of its callers, is
@@ -92,7 +92,7 @@
 	for port := range uint16(10) {
 		key := flowFrom(port+1, fixtures)
 		open(t, r, start, key)
-		sendCopy(t, r, start.Add(200*time.Millisecond), key)
+		retransmit(t, r, start.Add(200*time.Millisecond), key)
 	}
 	open(t, r, start.Add(300*time.Millisecond), flowFrom(99, fixtures))
 }
@@ -197,7 +197,7 @@
 	next.Seq, next.Acked = next.Seq+100, next.Acked+600
 	handle(r, start.Add(100*time.Millisecond), next)
 	for port := range uint16(9) {
-		sendCopy(t, r, start.Add(201*time.Millisecond), flowFrom(port+100, results))
+		retransmit(t, r, start.Add(201*time.Millisecond), flowFrom(port+100, results))
 	}
 	flows, _ := r.current.Load().targets[3].load.unansweredCounts()
 	qt.Assert(t, flows, qt.Equals, 0)
@@ -310,7 +310,7 @@
 	t.Run("even if the first target is the least loaded", func(t *testing.T) {
 		r := newRouter(t)
 		r.SetRegistrations(start, manyTargets(2))
-		r.SetReports(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, nil)
+		r.SetPeerLoads(start, map[baobabstep.TargetID]baobabstep.TargetLoad{2: {Requests: 1000}}, nil)
 		first, _ := open(t, r, start, flowFrom(1, fixtures))
 		qt.Assert(t, first, qt.Equals, baobabstep.TargetID(1))
 		second, _ := open(t, r, start.Add(5*time.Millisecond), flowFrom(2, fixtures))
@@ -354,8 +354,9 @@
 }
 
 // Guards against new flows to a target that refuses them. No further packet of a refused
-// flow arrives, not even a copy. Two such flows in a row keep new flows away, like two that
-// went unanswered; a flow whose caller sends a copy or continues was not refused.
+// flow arrives, not even a retransmission. Two such flows in a row keep new flows away,
+// like two that went unanswered; a flow whose caller retransmits or continues was not
+// refused.
 func TestRefusingTargetGetsNoNewFlows(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -363,8 +364,8 @@
 		suspect bool
 	}{
 		{"no further packet", func(*Router, baobabstep.FlowKey, uint32) {}, true},
-		{"a copy arrives", func(r *Router, key baobabstep.FlowKey, _ uint32) {
-			handle(r, start.Add(minCopyDelay-1), baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq, Acked: 1})
+		{"a retransmission arrives", func(r *Router, key baobabstep.FlowKey, _ uint32) {
+			handle(r, start.Add(minRetransmissionDelay-1), baobabstep.Segment{Kind: baobabstep.KindOpen, Flow: key, Seq: firstSeq, Acked: 1})
 		}, false},
 		{"the caller continues", func(r *Router, key baobabstep.FlowKey, token uint32) { handle(r, start, data(key, token)) }, false},
 	} {
--- a/core/token/helpers_test.go
+++ b/core/token/helpers_test.go
@@ -28,7 +28,7 @@
 	r := New(Options{DataCentre: "a", Rand: rand.New(rand.NewPCG(1, 2))})
 	r.SetTable(start, table(1, singleRule(fixtures, "fixtures"), singleRule(results, "results")))
 	r.SetRegistrations(start, threeTargets())
-	r.SetReports(start, nil, map[string]int{"b": 1})
+	r.SetPeerLoads(start, nil, map[string]int{"b": 1})
 	return r
 }
 
--- a/core/token/load.go
+++ b/core/token/load.go
@@ -29,11 +29,11 @@
 	mu sync.Mutex
 	// ownRequests are the recent requests that this VM sent.
 	ownRequests decayingCounter
-	// otherRequests are the recent requests of other VMs, by their latest reports.
+	// otherRequests are the recent requests of other VMs, by their latest loads.
 	otherRequests float64
 	health        health
 	// tally counts the outcomes of requests that this VM sent; otherAnswers and
-	// otherCallers are those reported by other VMs of the data centre.
+	// otherCallers are those in the loads of other VMs of the data centre.
 	tally        answer.TargetCounter
 	otherAnswers answer.Sample
 	otherCallers answer.CallerSet
@@ -48,26 +48,26 @@
 	return &load{id: id, active: active, health: health{knownSince: now}}
 }
 
-// markActive adds the target to those that the next Router.Reports examines.
+// markActive adds the target to those that the next Router.Loads examines.
 func (l *load) markActive() { l.active.add(l.id) }
 
 // minReportedRequests is the weight of recent requests below which none are reported:
 // heartbeats carry whole tenths.
 const minReportedRequests = 0.1
 
-// report returns the target's entry in this VM's heartbeats, and whether the target stays
+// entry returns the target's load for this VM's heartbeats, and whether the target stays
 // active, which means that it has something to report or may have later without a further
-// event. mean is the mean answer time of its service.
-func (l *load) report(now time.Time, mean time.Duration) (report baobabstep.TargetLoad, active bool) {
-	report = l.silenceReport(now)
-	report.Target = l.id
-	report.Requests, _ = l.requests(now)
+// event. mean is the mean latency of its service.
+func (l *load) entry(now time.Time, mean time.Duration) (entry baobabstep.TargetLoad, active bool) {
+	entry = l.silenceReport(now)
+	entry.Target = l.id
+	entry.Requests, _ = l.requests(now)
 	sample, callers, notable := l.answerReport(now, mean)
 	if notable {
-		report.Answers, report.Failed, report.MeanDuration, report.Callers = sample.Answers, sample.Failed, sample.Latency, uint16(callers)
+		entry.Answers, entry.Failed, entry.MeanLatency, entry.Callers = sample.Answers, sample.Failed, sample.Latency, uint16(callers)
 	}
-	active = report.Requests >= minReportedRequests || sample.Answers >= minReportedFailures || report.Unanswered > 0 || report.ReportedSilent
-	return report, active
+	active = entry.Requests >= minReportedRequests || sample.Answers >= minReportedFailures || entry.Unanswered > 0 || entry.ReportedSilent
+	return entry, active
 }
 
 // assessment is the state of a target, at one moment, that the choice of a target depends
@@ -77,9 +77,9 @@
 	// VM, otherRequests those of other VMs.
 	suspect, needsProbe        bool
 	ownRequests, otherRequests float64
-	// answerTime is the mean time of a request in seconds, answers the weight of the
+	// latency is the mean latency of a request in seconds, answers the weight of the
 	// answers that it was measured from.
-	answerTime, answers float64
+	latency, answers float64
 	// penalty is the work, in slots, by which the target's score is raised; onTrial is set
 	// while the target is on trial, and trialDue if it may get a trial flow now.
 	penalty           float64
@@ -96,13 +96,13 @@
 	return assessment{
 		suspect: suspect, needsProbe: needsProbe,
 		ownRequests: l.ownRequests.read(now), otherRequests: l.otherRequests,
-		answerTime: answers.Latency.Seconds(), answers: answers.Answers - answers.Failed,
+		latency: answers.Latency.Seconds(), answers: answers.Answers - answers.Failed,
 		penalty: l.verdict.Penalty, onTrial: onTrial, trialDue: onTrial && !now.Before(l.nextTrial),
 	}
 }
 
-// priorWeight is the weight, in answers, of the service's mean against the times measured
-// at a target. Times of single requests vary by half their mean, so one measured time says
+// priorWeight is the weight, in answers, of the service's mean against the latencies
+// measured at a target. Single latencies vary by half their mean, so one measurement says
 // about as much as the assumption that the target is like the others.
 const priorWeight = 1.0
 
@@ -110,10 +110,10 @@
 // targets of the service. Measurements decay, so a target that gets no more requests is
 // assumed to be as fast as the others again.
 func (a *assessment) serviceTime(mean float64) float64 {
-	return (mean*priorWeight + a.answerTime*a.answers) / (priorWeight + a.answers)
+	return (mean*priorWeight + a.latency*a.answers) / (priorWeight + a.answers)
 }
 
-// minReportedLogRatio and singleAnswerLogRatio are the deviations of a target's answer time
+// minReportedLogRatio and singleAnswerLogRatio are the deviations of a target's latency
 // from that of its service above which it is reported to other VMs, as the logarithm of the
 // ratio. The first is a factor of 1.5. The second applies to few answers: it is twice the
 // standard deviation of the logarithm of the mean, which is 0.6 for one answer. Other VMs
@@ -124,7 +124,7 @@
 )
 
 // answerReport returns what to report to other VMs of the target's answers, and whether it
-// deviates enough to be reported. mean is the mean answer time of its service.
+// deviates enough to be reported. mean is the mean latency of its service.
 func (l *load) answerReport(now time.Time, mean time.Duration) (s answer.Sample, callers answer.CallerSet, notable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -267,18 +267,18 @@
 	return own, own + l.otherRequests
 }
 
-// setReport sets what other VMs report of the target, and reports whether that ended an
+// setPeerLoad sets the target's load on other VMs, and reports whether that ended an
 // avoidance.
-func (l *load) setReport(report baobabstep.TargetLoad) (resumed bool) {
+func (l *load) setPeerLoad(peers baobabstep.TargetLoad) (resumed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(report.SilenceReports) > 0 {
+	if len(peers.SilenceReports) > 0 {
 		l.markActive()
 	}
-	l.otherRequests = report.Requests
-	l.otherAnswers = answer.Sample{Answers: report.Answers, Failed: report.Failed, Latency: report.MeanDuration}
-	l.otherCallers = answer.CallerSet(report.Callers)
-	return l.health.setSilence(report)
+	l.otherRequests = peers.Requests
+	l.otherAnswers = answer.Sample{Answers: peers.Answers, Failed: peers.Failed, Latency: peers.MeanLatency}
+	l.otherCallers = answer.CallerSet(peers.Callers)
+	return l.health.setSilence(peers)
 }
 
 // unansweredCounts returns the number of consecutive flows that were left unanswered, and
--- a/core/token/mechanism.go
+++ b/core/token/mechanism.go
@@ -34,13 +34,13 @@
 	MechanismWitnesses // witnesses
 	// MechanismAnswers: targets that fail more requests than their peers get fewer flows.
 	MechanismAnswers // answers
-	// MechanismSharedAnswers: reports of other VMs on a target's answers count.
+	// MechanismSharedAnswers: answers in the loads of other VMs count.
 	MechanismSharedAnswers // shared_answers
 	// MechanismTrials: a target that failed passes a trial before it is trusted.
 	MechanismTrials // trials
 	// MechanismAdmission: ordinary flows are refused where answers come too late.
 	MechanismAdmission // admission
-	// MechanismAlarms: targets that a VM finds silent are reported at once.
+	// MechanismAlarms: an alarm about a silent target is sent at once.
 	MechanismAlarms // alarms
 	// MechanismAvoidance: a target that accepts no flows is retried by one VM at a time.
 	MechanismAvoidance // avoidance
--- a/core/token/router.go
+++ b/core/token/router.go
@@ -30,7 +30,7 @@
 	ColdOvershoot, ColdSlack float64
 	// Disabled is the set of disabled mechanisms (none).
 	Disabled Mechanisms
-	// ObserveRequestTime, if set, is called with the response time of each request whose
+	// ObserveRequestTime, if set, is called with the latency of each request whose
 	// answer this VM saw acknowledged.
 	ObserveRequestTime func(took time.Duration)
 	// Record receives the events for which EventEnabled returns true. Both are nil if no
@@ -62,14 +62,14 @@
 	// view lists the VMs of the data centre; nil until SetView is called.
 	view atomic.Pointer[quota.View]
 
-	// urgentReports are the targets to report to other VMs without waiting for a heartbeat.
-	urgentReports *urgentReportQueue
+	// alarms are the targets to report to other VMs without waiting for a heartbeat.
+	alarms *alarmQueue
 
 	// readyChan is closed once flows can be placed. The router stays ready from then on.
 	readyChan chan struct{}
 
-	// reportsLock is held while Reports lists the active targets.
-	reportsLock sync.Mutex
+	// loadsLock is held while Loads lists the active targets.
+	loadsLock sync.Mutex
 	// changeLock is held while the snapshot is replaced.
 	changeLock sync.Mutex
 	// randLock guards Options.Rand.
@@ -79,7 +79,7 @@
 // New returns a router without routes and targets.
 func New(o Options) *Router {
 	o.setDefaults()
-	r := &Router{options: o, flows: newFlowTable(), openingFlows: newOpeningFlows(), urgentReports: newUrgentReportQueue(), readyChan: make(chan struct{})}
+	r := &Router{options: o, flows: newFlowTable(), openingFlows: newOpeningFlows(), alarms: newAlarmQueue(), readyChan: make(chan struct{})}
 	r.current.Store(newSnapshot(&r.options))
 	r.vmsHeard.Store(&map[string]int{})
 	return r
@@ -169,57 +169,57 @@
 	r.current.Store(&next)
 }
 
-// SetReports sets what other VMs report of targets, and the number of VMs heard from in
-// each data centre. Targets that are not in reports keep their previous values.
+// SetPeerLoads sets the loads of targets on other VMs, and the number of VMs heard from in
+// each data centre. Targets that are not in loads keep their previous values.
 //
 // A data centre from which no VM is heard counts as unreachable. Behind a partition its
 // targets would seem idle, since no VM reports the requests sent to them, and each new flow
 // to them would be lost.
-func (r *Router) SetReports(now time.Time, reports map[baobabstep.TargetID]baobabstep.TargetLoad, heard map[string]int) {
+func (r *Router) SetPeerLoads(now time.Time, loads map[baobabstep.TargetID]baobabstep.TargetLoad, heard map[string]int) {
 	r.vmsHeard.Store(&heard)
 	targets := r.current.Load().targets
-	for _, id := range slices.Sorted(maps.Keys(reports)) { // sorted, so that events are recorded in a deterministic order
+	for _, id := range slices.Sorted(maps.Keys(loads)) { // sorted, so that events are recorded in a deterministic order
 		t := targets[id]
 		if t == nil {
 			continue
 		}
-		report := r.applicableReport(reports[id])
-		if t.load.setReport(report) {
+		load := r.applicableLoad(loads[id])
+		if t.load.setPeerLoad(load) {
 			r.noteHeardAgain(now, t)
 		}
-		if report.Failed > 0 {
+		if load.Failed > 0 {
 			r.scheduleReview(t)
 		}
 	}
 }
 
 // TakeNewTargets returns the targets that were added or restarted since the previous call.
-// Reports that SetReports received for them earlier have not been applied.
+// Loads that SetPeerLoads received for them earlier have not been applied.
 func (r *Router) TakeNewTargets() []baobabstep.TargetID { return r.current.Load().newTargets.take() }
 
 // vmCount returns the number of live VMs in the data centre, including this one.
 func (r *Router) vmCount() int { return 1 + (*r.vmsHeard.Load())[r.options.DataCentre] }
 
-// applicableReport returns the report without the parts that belong to disabled mechanisms.
-func (r *Router) applicableReport(report baobabstep.TargetLoad) baobabstep.TargetLoad {
+// applicableLoad returns the load without the parts that belong to disabled mechanisms.
+func (r *Router) applicableLoad(load baobabstep.TargetLoad) baobabstep.TargetLoad {
 	if !r.enabled(MechanismOtherLoads) {
-		report.Requests = 0
+		load.Requests = 0
 	}
 	if !r.enabled(MechanismWitnesses) {
-		report.SilenceReports, report.HeardAt = nil, time.Time{}
+		load.SilenceReports, load.HeardAt = nil, time.Time{}
 	}
 	if !r.enabled(MechanismSharedAnswers) {
-		report.Answers, report.Failed, report.MeanDuration, report.Callers = 0, 0, 0, 0
+		load.Answers, load.Failed, load.MeanLatency, load.Callers = 0, 0, 0, 0
 	}
-	return report
+	return load
 }
 
-// Reports returns what this VM reports to other VMs: the requests that it sent to targets,
+// Loads returns the loads for this VM's heartbeats: the requests that it sent to targets,
 // and the answers and unanswered flows that it observed. Targets with nothing to report are
 // omitted.
-func (r *Router) Reports(now time.Time) []baobabstep.TargetLoad {
-	r.reportsLock.Lock()
-	defer r.reportsLock.Unlock()
+func (r *Router) Loads(now time.Time) []baobabstep.TargetLoad {
+	r.loadsLock.Lock()
+	defer r.loadsLock.Unlock()
 	s := r.current.Load()
 	ids := s.active.take()
 	list := make([]baobabstep.TargetLoad, 0, len(ids))
@@ -228,9 +228,9 @@
 		if t == nil {
 			continue
 		}
-		if report, active := t.load.report(now, t.service.meanAnswerTime()); active {
+		if load, active := t.load.entry(now, t.service.meanLatency()); active {
 			t.load.markActive()
-			list = append(list, report)
+			list = append(list, load)
 		}
 	}
 	return list
@@ -284,8 +284,8 @@
 	*out = append(*out, baobabstep.OutgoingDatagram{Flow: p.Flow, Seq: p.Acked})
 }
 
-// openFlow places the flow of a first packet. A copy of a first packet goes to the target
-// that the first one went to, unless the flow has to move.
+// openFlow places the flow of a first packet. Its retransmission goes to the same target,
+// unless the flow has to move.
 func (r *Router) openFlow(now time.Time, s *snapshot, route *rule, h flowHash, p *baobabstep.Segment, out *[]baobabstep.OutgoingDatagram) {
 	shard := r.flows.shard(h)
 	shard.mu.Lock()
@@ -296,7 +296,7 @@
 		previous = r.openingFlows.lastTried(now, p.Flow.Caller.Addr())
 	}
 	if f != nil && f.seq == p.Seq && f.opening {
-		f.copySeen = true
+		f.retransmitted = true
 		previous = nil
 		if !r.shouldMove(now, s, f) {
 			f.lastPacketAt = now
--- a/core/token/router_test.go
+++ b/core/token/router_test.go
@@ -50,7 +50,7 @@
 	assertPassed(t, newRouter(t), start, data(key, token), target)
 }
 
-func TestCopyOfFirstPacketGoesToSameTarget(t *testing.T) {
+func TestRetransmissionOfFirstPacketGoesToSameTarget(t *testing.T) {
 	r := newRouter(t)
 	key := flowFrom(1, fixtures)
 	target, _ := open(t, r, start, key)
@@ -211,7 +211,7 @@
 	t.Run("not after the grace period", func(t *testing.T) {
 		open(t, restored(t, noChange), back.Add(ReregistrationGrace), segment.Flow)
 	})
-	t.Run("not for another run", func(t *testing.T) {
+	t.Run("not for another incarnation", func(t *testing.T) {
 		r := restored(t, noChange)
 		again := threeTargets()[:1]
 		again[0].StartedMS = 7
@@ -230,8 +230,8 @@
 }
 
 // Guards against overloading a cold target, and against flows to one that is gone, because
-// a restored store holds registrations of runs that have ended.
-func TestStaleRunIsIgnoredAfterRestore(t *testing.T) {
+// a restored store holds registrations of incarnations that have ended.
+func TestStaleIncarnationIsIgnoredAfterRestore(t *testing.T) {
 	back := start.Add(10 * time.Second)
 	cold := registration(1, "fixtures", "a")
 	cold.StartedMS, cold.WarmupLeft = 200, 20*time.Second
@@ -242,7 +242,7 @@
 		r.SetRegistrations(start, list)
 		return r
 	}
-	t.Run("an earlier run is ignored", func(t *testing.T) {
+	t.Run("an earlier incarnation is ignored", func(t *testing.T) {
 		r := known(t, cold)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, []baobabstep.Registration{warm})
@@ -250,13 +250,13 @@
 		qt.Assert(t, held.registration.StartedMS, qt.Equals, cold.StartedMS)
 		qt.Assert(t, held.isCold(back), qt.IsTrue)
 	})
-	t.Run("a later run is accepted", func(t *testing.T) {
+	t.Run("a later incarnation is accepted", func(t *testing.T) {
 		r := known(t, warm)
 		r.StoreRestored(back)
 		r.SetRegistrations(back, []baobabstep.Registration{cold})
 		qt.Assert(t, r.current.Load().targets[1].registration.StartedMS, qt.Equals, cold.StartedMS)
 	})
-	t.Run("an earlier run is accepted without a restore", func(t *testing.T) {
+	t.Run("an earlier incarnation is accepted without a restore", func(t *testing.T) {
 		r := known(t, cold)
 		r.SetRegistrations(back, []baobabstep.Registration{warm})
 		qt.Assert(t, r.current.Load().targets[1].registration.StartedMS, qt.Equals, warm.StartedMS)
--- a/core/token/snapshot.go
+++ b/core/token/snapshot.go
@@ -47,10 +47,10 @@
 type rule struct {
 	name       string
 	repeatable bool
-	// ordinary rules may have new flows refused under overload; aim is the time within
-	// which their callers need answers.
-	ordinary bool
-	aim      time.Duration
+	// ordinary rules may have new flows refused under overload; latencyObjective is the
+	// latency that their callers expect.
+	ordinary         bool
+	latencyObjective time.Duration
 	// answerSizes learns the usual sizes of the answers to the rule's requests.
 	answerSizes *answer.SizeHistogram
 	shares      []baobabstep.Share
@@ -89,7 +89,7 @@
 }
 
 func newRule(from *baobabstep.Rule) *rule {
-	r := &rule{name: from.Name, repeatable: from.Repeatable, aim: from.LatencyObjective, answerSizes: new(answer.SizeHistogram), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
+	r := &rule{name: from.Name, repeatable: from.Repeatable, latencyObjective: from.LatencyObjective, answerSizes: new(answer.SizeHistogram), shares: from.Shares, services: make(map[string]time.Time, len(from.Shares))}
 	for _, share := range from.Shares {
 		r.totalWeight += share.Weight
 		r.services[share.Service] = noExpiry
@@ -266,7 +266,7 @@
 // initNewLoads gives targets that are not in the previous snapshot the mean load of those
 // that are.
 func (p *pool) initNewLoads(now time.Time, before *snapshot) {
-	isNew := func(t *target) bool { return !t.sameRun(before.targets[t.id]) }
+	isNew := func(t *target) bool { return !t.sameIncarnation(before.targets[t.id]) }
 	if !slices.ContainsFunc(p.targets, isNew) {
 		return
 	}
@@ -289,16 +289,16 @@
 }
 
 // applyRegistration returns the target of a registration, with the load of an earlier
-// registration of the same run.
+// registration of the same incarnation.
 //
-// During the grace period after a restore, a registration of an earlier run than the known
-// one is stale and ignored, and a target that was draining or gone before the restore still
-// gets no new flows.
+// During the grace period after a restore, a registration of an earlier incarnation than
+// the known one is stale and ignored, and a target that was draining or gone before the
+// restore still gets no new flows.
 //
-// A registration that changes the service of a run cannot come from the target itself,
-// since a process serves one service. If it were applied, the target's flows would find no
-// target any more, and new flows of the other service would be refused. The target keeps
-// its service, counts as missing and gets no new flows.
+// A registration that changes the service of an incarnation cannot come from the target
+// itself, since a process serves one service. If it were applied, the target's flows would
+// find no target any more, and new flows of the other service would be refused. The target
+// keeps its service, counts as missing and gets no new flows.
 func (s *snapshot) applyRegistration(now time.Time, r *baobabstep.Registration) *target {
 	t := &target{
 		id: r.ID, registration: *r, load: newLoad(now, r.ID, s.active), service: s.services.get(r.Service),
@@ -308,7 +308,7 @@
 	if old != nil && s.inRestoreGrace(now) && r.StartedMS < old.registration.StartedMS {
 		return old
 	}
-	if !t.sameRun(old) {
+	if !t.sameIncarnation(old) {
 		s.newTargets.add(t.id)
 		if old != nil {
 			t.load.verdict = old.load.currentVerdict()
--- a/core/token/targetset_test.go
+++ b/core/token/targetset_test.go
@@ -10,7 +10,7 @@
 	"baobabstep"
 )
 
-// Guards against reports of other VMs that are lost because they arrived before the
+// Guards against loads of other VMs that are lost because they arrived before the
 // target's registration.
 func TestNewTargetsAreReportedOnce(t *testing.T) {
 	r := newRouter(t)
@@ -31,7 +31,7 @@
 	for range 2 {
 		go func() {
 			for range 1000 {
-				if got := len(r.Reports(start)); got != 1 {
+				if got := len(r.Loads(start)); got != 1 {
 					ended <- fmt.Errorf("got %d loads, want 1", got)
 					return
 				}
@@ -53,13 +53,13 @@
 				list[i] = registration(baobabstep.TargetID(i+1), "fixtures", "a")
 			}
 			r.SetRegistrations(start, list)
-			qt.Assert(t, r.Reports(start), qt.HasLen, 0)
+			qt.Assert(t, r.Loads(start), qt.HasLen, 0)
 			target, _ := open(t, r, start, flowFrom(1, fixtures))
-			loads := r.Reports(start)
+			loads := r.Loads(start)
 			qt.Assert(t, loads, qt.HasLen, 1)
 			qt.Assert(t, loads[0].Target, qt.Equals, target)
-			qt.Assert(t, r.Reports(start.Add(time.Second)), qt.HasLen, 1)
-			qt.Assert(t, r.Reports(start.Add(time.Minute)), qt.HasLen, 0)
+			qt.Assert(t, r.Loads(start.Add(time.Second)), qt.HasLen, 1)
+			qt.Assert(t, r.Loads(start.Add(time.Minute)), qt.HasLen, 0)
 		})
 	}
 }
--- a/core/token/trouble.go
+++ b/core/token/trouble.go
@@ -9,20 +9,19 @@
 	"baobabstep"
 )
 
-// urgentReportQueue holds the targets to report to the other VMs of the data centre at
-// once. Each VM sees only a few of a target's flows, and callers lose time with every
-// delay.
-type urgentReportQueue struct {
+// alarmQueue holds the targets to report to the other VMs of the data centre at once. Each
+// VM sees only a few of a target's flows, and callers lose time with every delay.
+type alarmQueue struct {
 	targetSet
 	// pending holds a value while the set is not empty.
 	pending chan struct{}
 }
 
-func newUrgentReportQueue() *urgentReportQueue {
-	return &urgentReportQueue{pending: make(chan struct{}, 1)}
+func newAlarmQueue() *alarmQueue {
+	return &alarmQueue{pending: make(chan struct{}, 1)}
 }
 
-func (t *urgentReportQueue) add(id baobabstep.TargetID) {
+func (t *alarmQueue) add(id baobabstep.TargetID) {
 	t.targetSet.add(id)
 	select {
 	case t.pending <- struct{}{}:
@@ -30,31 +29,30 @@
 	}
 }
 
-// UrgentReportsPending returns a channel that holds a value while TakeUrgentReports has
-// reports.
-func (r *Router) UrgentReportsPending() <-chan struct{} { return r.urgentReports.pending }
+// AlarmsPending returns a channel that holds a value while TakeAlarms has loads.
+func (r *Router) AlarmsPending() <-chan struct{} { return r.alarms.pending }
 
-// TakeUrgentReports returns reports on the targets that, since the last call, left a flow
+// TakeAlarms returns the loads of the targets that, since the last call, left a flow
 // unanswered or were heard from although other VMs report them as silent.
-func (r *Router) TakeUrgentReports(now time.Time) (list []baobabstep.TargetLoad) {
+func (r *Router) TakeAlarms(now time.Time) (list []baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
-	for _, id := range r.urgentReports.take() {
+	for _, id := range r.alarms.take() {
 		if t := targets[id]; t != nil && r.enabled(MechanismAlarms) {
-			report := t.load.silenceReport(now)
-			report.Target = id
-			list = append(list, report)
+			load := t.load.silenceReport(now)
+			load.Target = id
+			list = append(list, load)
 		}
 	}
 	return list
 }
 
-// SetSilenceReports sets other VMs' reports on the silence of some targets; their other
-// reports stay as they are.
+// SetSilenceReports sets other VMs' reports on the silence of some targets; the rest of
+// their loads stays as it is.
 func (r *Router) SetSilenceReports(now time.Time, reports map[baobabstep.TargetID]baobabstep.TargetLoad) {
 	targets := r.current.Load().targets
 	for _, id := range slices.Sorted(maps.Keys(reports)) { // sorted, because avoidIfRefusing draws a random number for each
 		if t := targets[id]; t != nil {
-			if t.load.setSilence(r.applicableReport(reports[id])) {
+			if t.load.setSilence(r.applicableLoad(reports[id])) {
 				r.noteHeardAgain(now, t)
 			}
 			r.avoidIfRefusing(now, t)
--- a/directory.go
+++ b/directory.go
@@ -26,8 +26,8 @@
 	Service string
 	// PerSecond is the rate in requests per second, above 0.
 	PerSecond float64
-	// Lasts is how long a target stays cold after its start.
-	Lasts time.Duration
+	// Duration is how long a target stays cold after its start.
+	Duration time.Duration
 }
 
 // DesiredState is the state of the fleet that the operators ask for.
@@ -45,7 +45,7 @@
 	Evacuations []EvacuationChange
 }
 
-// Empty tells whether nothing changed.
+// Empty reports whether nothing changed.
 func (c *DesiredChange) Empty() bool { return c.Table == nil && len(c.Evacuations) == 0 }
 
 // EvacuationChange begins or ends the evacuation of a data centre.
@@ -119,7 +119,7 @@
 	Number uint64
 }
 
-// Before tells whether r precedes other. Numbers of different eras are not
+// Before reports whether r precedes other. Numbers of different eras are not
 // comparable.
 func (r Revision) Before(other Revision) bool {
 	return r.Era < other.Era || r.Era == other.Era && r.Number < other.Number
@@ -190,11 +190,11 @@
 	ReportedSilent bool
 	// Answers is the number of recent requests with a known outcome, Failed the
 	// number of those that failed as far as a VM can tell, both weighted by
-	// age, followed by the mean duration of the others. A summary of other VMs
+	// age, followed by the mean latency of the others. A summary of other VMs
 	// covers those of the own data centre only. All are 0 unless the target is
 	// an outlier.
 	Answers, Failed float64
-	MeanDuration    time.Duration
+	MeanLatency     time.Duration
 	// Callers is the set of callers whose requests failed; see package answer.
 	Callers uint16
 }
--- a/emulator/vm.go
+++ b/emulator/vm.go
@@ -31,8 +31,8 @@
 	salt   uint64
 	at     netip.AddrPort
 
-	router *token.Router
-	board  *heartbeat.PeerTable
+	router    *token.Router
+	peerTable *heartbeat.PeerTable
 	// run counts starts; what was to come in an earlier run does not.
 	run int
 
@@ -77,7 +77,7 @@
 		DataCentre: w.deployment.DataCentres[v.site].Name, Rand: rand.New(rand.NewPCG(seed, 1)),
 		ColdOvershoot: coldOvershoot, ColdSlack: coldSlack,
 	}))
-	v.board = heartbeat.New(w.time(), heartbeat.Options{
+	v.peerTable = heartbeat.New(w.time(), heartbeat.Options{
 		Self: baobabstep.MakeVMID(v.name), DataCentre: w.deployment.DataCentres[v.site].Name, Address: v.at,
 		Incarnation: uint64(w.time().UnixMilli()), Seeds: w.seeds(), Rand: rand.New(rand.NewPCG(seed, 2)),
 	})
@@ -164,21 +164,21 @@
 			v.reset(f)
 		}
 	}
-	if v.board.HeartbeatsDue(now) {
-		v.sendAll(v.board.Tick(now, v.own(now)))
+	if v.peerTable.HeartbeatsDue(now) {
+		v.sendAll(v.peerTable.Tick(now, v.own(now)))
 	}
 	v.takeOthers(now)
 	v.tellTrouble(now)
 }
 
 func (v *vm) own(now time.Time) heartbeat.LocalState {
-	return heartbeat.LocalState{Loads: v.router.Reports(now)}
+	return heartbeat.LocalState{Loads: v.router.Loads(now)}
 }
 
 func (v *vm) takeOthers(now time.Time) {
-	v.board.MarkLoadsChanged(v.router.TakeNewTargets())
-	v.router.SetReports(now, v.board.Loads(now), v.board.LiveCounts(now))
-	v.router.SetView(v.board.View(now))
+	v.peerTable.MarkLoadsChanged(v.router.TakeNewTargets())
+	v.router.SetPeerLoads(now, v.peerTable.Loads(now), v.peerTable.LiveCounts(now))
+	v.router.SetView(v.peerTable.View(now))
 }
 
 // tellTrouble announces targets in trouble at once, but not too often.
@@ -187,9 +187,9 @@
 		return
 	}
 	select {
-	case <-v.router.UrgentReportsPending():
+	case <-v.router.AlarmsPending():
 		v.toldAt = v.world.now
-		v.sendAll(v.board.MakeAlarms(now, v.router.TakeUrgentReports(now)))
+		v.sendAll(v.peerTable.MakeAlarms(now, v.router.TakeAlarms(now)))
 	default:
 	}
 }
@@ -275,9 +275,9 @@
 		now := v.world.time()
 		switch {
 		case m.Heartbeat != nil:
-			v.board.Handle(now, from, m.Heartbeat)
+			v.peerTable.Handle(now, from, m.Heartbeat)
 		case m.Alarm != nil:
-			v.router.SetSilenceReports(now, v.board.HandleAlarm(now, from, m.Alarm))
+			v.router.SetSilenceReports(now, v.peerTable.HandleAlarm(now, from, m.Alarm))
 		}
 	})
 }
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -265,7 +265,7 @@
 	}
 	for _, s := range w.deployment.Services {
 		if s.ColdPerSecond > 0 {
-			t.ColdLimits = append(t.ColdLimits, baobabstep.ColdLimit{Service: s.Name, PerSecond: s.ColdPerSecond, Lasts: s.ColdMS.D()})
+			t.ColdLimits = append(t.ColdLimits, baobabstep.ColdLimit{Service: s.Name, PerSecond: s.ColdPerSecond, Duration: s.ColdMS.D()})
 		}
 	}
 	return t
--- a/entry/belief.go
+++ b/entry/belief.go
@@ -62,12 +62,12 @@
 	content []byte
 	// confirmedAt is when the store was last known to hold nothing newer.
 	confirmedAt time.Time
-	// unconfirmed is set while the content is only known to have been in a copy of the store.
+	// unconfirmed is set while the content is only known to have been in a replica.
 	unconfirmed bool
-	// revisionFromCopy is set while the revision is known only from a copy of the store. A
-	// copy can be ahead of a store that was restored from a backup, so content read from the
-	// store itself replaces it even if its revision is lower.
-	revisionFromCopy bool
+	// revisionFromReplica is set while the revision is known only from a replica of the store.
+	// A replica can be ahead of a store that was restored from a backup, so content read from
+	// the store itself replaces it even if its revision is lower.
+	revisionFromReplica bool
 }
 
 func newStateCache(router *token.Router, logger log.Interface, limits LogLimiter) *stateCache {
@@ -110,8 +110,8 @@
 type origin struct {
 	source      string
 	confirmedAt time.Time
-	// fromCopy is set for content read from a copy of the store.
-	fromCopy bool
+	// fromReplica is set for content read from a replica of the store.
+	fromReplica bool
 }
 
 // updateRoutes applies a routing table if it is newer. It returns whether it was and the
@@ -138,7 +138,7 @@
 		return false, nil, err
 	}
 	sc.router.SetTable(now, table)
-	next := cachedState{revision: revision, sum: heartbeat.Checksum(content), content: content, confirmedAt: from.confirmedAt, unconfirmed: from.fromCopy}
+	next := cachedState{revision: revision, sum: heartbeat.Checksum(content), content: content, confirmedAt: from.confirmedAt, unconfirmed: from.fromReplica}
 	if sc.table != nil {
 		change = heartbeat.NewRoutesChange(sc.table, table, cached.sum, next.announced(now))
 	}
@@ -193,7 +193,7 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	cached := &sc.states[heartbeat.Targets]
-	if from.source == sourceStore && !cached.revisionFromCopy && revision.Era == cached.revision.Era && revision.Before(cached.revision) {
+	if from.source == sourceStore && !cached.revisionFromReplica && revision.Era == cached.revision.Era && revision.Before(cached.revision) {
 		if merged := sc.mergeHistory(next, revision); merged != nil {
 			next, list, revision = merged, merged.List(), cached.revision
 		}
@@ -239,14 +239,14 @@
 // is equal. The caller holds sc.mu.
 func (sc *stateCache) needsUpdate(now time.Time, kind heartbeat.Kind, sum uint64, revision baobabstep.Revision, from origin) bool {
 	cached := &sc.states[kind]
-	overridden := cached.revisionFromCopy && from.source == sourceStore
+	overridden := cached.revisionFromReplica && from.source == sourceStore
 	switch {
 	case revision.Before(cached.revision) && !overridden:
 		sc.recordOutdated(now, kind, revision, from)
 		return false
 	case cached.isKnown() && sum == cached.sum:
 		sc.setRevision(now, kind, revision)
-		cached.revisionFromCopy = from.fromCopy
+		cached.revisionFromReplica = from.fromReplica
 		cached.confirm(from.confirmedAt)
 		return false
 	}
@@ -261,7 +261,7 @@
 	sc.setRevision(now, kind, revision)
 	cached.sum, cached.content = sum, nil
 	cached.confirm(from.confirmedAt)
-	cached.unconfirmed, cached.revisionFromCopy = from.fromCopy, from.fromCopy
+	cached.unconfirmed, cached.revisionFromReplica = from.fromReplica, from.fromReplica
 	return oldSum
 }
 
@@ -407,7 +407,7 @@
 	cached := &sc.states[kind]
 	if cached.revision.Before(revision) {
 		sc.setRevision(now, kind, revision)
-		cached.revisionFromCopy = false
+		cached.revisionFromReplica = false
 	}
 	cached.confirm(at)
 }
@@ -436,15 +436,15 @@
 	return held
 }
 
-// copyRevisionNumber is announced in place of a revision number known only from a copy of the
-// store. If that number were ahead of the store, peers would ignore the store's revisions
-// until it caught up.
-const copyRevisionNumber = 1
+// replicaRevisionNumber is announced in place of a revision number known only from a replica
+// of the store. If that number were ahead of the store, peers would ignore the store's
+// revisions until it caught up.
+const replicaRevisionNumber = 1
 
 func (cs *cachedState) announced(now time.Time) heartbeat.VersionInfo {
 	revision := cs.revision
-	if cs.revisionFromCopy {
-		revision.Number = copyRevisionNumber
+	if cs.revisionFromReplica {
+		revision.Number = replicaRevisionNumber
 	}
 	return heartbeat.MakeVersionInfo(revision, cs.sum, now.Sub(cs.confirmedAt))
 }
--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -122,9 +122,9 @@
 }
 
 // peerOrigin returns the origin of content from a peer. If the peer's content was last
-// confirmed at least maxAge ago, it counts as read from a copy of the store.
+// confirmed at least maxAge ago, it counts as read from a replica of the store.
 func (n *Node) peerOrigin(now time.Time, held heartbeat.VersionInfo, maxAge time.Duration) origin {
-	return origin{source: sourcePeer, confirmedAt: now.Add(-held.Age()), fromCopy: held.Age() >= maxAge}
+	return origin{source: sourcePeer, confirmedAt: now.Add(-held.Age()), fromReplica: held.Age() >= maxAge}
 }
 
 // reserveServe reports whether size bytes may be sent to a requester now, and if so counts
@@ -213,7 +213,7 @@
 	if c.Kind == heartbeat.Targets && changed {
 		n.setWantFullList(false)
 	}
-	switch near := n.board.IsNear(from); {
+	switch near := n.peerTable.IsNear(from); {
 	case !changed:
 	case !near: // other data centres send a change to only one VM here
 		n.distributeChange(c, false)
@@ -271,7 +271,7 @@
 	c.Origin = n.options.Settings.PeerAddress
 	datagrams, ok := n.relay(c)
 	if ok && remote {
-		n.sendDatagrams(datagrams, n.board.FarPeers(n.clock.Now())...)
+		n.sendDatagrams(datagrams, n.peerTable.FarPeers(n.clock.Now())...)
 	}
 	return ok
 }
@@ -284,12 +284,12 @@
 		return nil, false
 	}
 	fanout := heartbeat.RelayFanout(totalSize(datagrams))
-	n.sendDatagrams(datagrams, n.board.RelayPeers(n.clock.Now(), c.Origin, fanout)...)
+	n.sendDatagrams(datagrams, n.peerTable.RelayPeers(n.clock.Now(), c.Origin, fanout)...)
 	return datagrams, true
 }
 
 // announce sends heartbeats at once, with remote set also to other data centres.
 func (n *Node) announce(remote bool) {
 	now := n.clock.Now()
-	n.sendAll(n.board.Announce(now, n.ownState(now), remote))
+	n.sendAll(n.peerTable.Announce(now, n.ownState(now), remote))
 }
--- a/entry/disturbed_test.go
+++ b/entry/disturbed_test.go
@@ -53,9 +53,9 @@
 }
 
 // Guards against wrong outcomes, requests that run twice and reset flows at live targets when
-// links lose, duplicate and reorder one datagram in twenty, to targets and to callers. Copies
-// of first segments then arrive over other VMs, requests arrive twice and old segments arrive
-// after new ones.
+// links lose, duplicate and reorder one datagram in twenty, to targets and to callers.
+// Retransmitted first segments then arrive over other VMs, requests arrive twice and old
+// segments arrive after new ones.
 func TestLostDuplicatedAndReorderedDatagrams(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 91, 3)
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -15,9 +15,9 @@
 // updateEvacuations replaces the evacuated data centres by those of a revision. It returns
 // whether the list changed, and whether it is the first one.
 //
-// Only a newer revision can end an evacuation. A copy of the store, a delayed heartbeat or a
-// VM that has not received the evacuation yet has an older revision, and would direct flows
-// into a data centre that is being emptied.
+// Only a newer revision can end an evacuation. A replica, a delayed heartbeat or a VM that has
+// not received the evacuation yet has an older revision, and would direct flows into a data
+// centre that is being emptied.
 func (sc *stateCache) updateEvacuations(now time.Time, dataCentres []string, revision baobabstep.Revision, from origin) (changed, first bool, err error) {
 	list := slices.Sorted(slices.Values(dataCentres))
 	sum, err := heartbeat.EvacuationsChecksum(list)
@@ -62,9 +62,9 @@
 	return merged
 }
 
-// enforceEvacuations applies the cached evacuations to the router. For token.LapseGrace after
-// a restore they are merged with those that the restored store may lack. The caller holds
-// sc.mu.
+// enforceEvacuations applies the cached evacuations to the router. For
+// token.ReregistrationGrace after a restore they are merged with those that the restored store
+// may lack. The caller holds sc.mu.
 func (sc *stateCache) enforceEvacuations(now time.Time, source string) {
 	if now.Sub(sc.restoredAt) >= token.ReregistrationGrace {
 		sc.pendingMerge = nil
@@ -86,7 +86,7 @@
 }
 
 // expireEvacuationMerge ends the merge with evacuations from before a restore once
-// token.LapseGrace has passed.
+// token.ReregistrationGrace has passed.
 func (sc *stateCache) expireEvacuationMerge(now time.Time) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -166,7 +166,7 @@
 // with remote set, to one VM of each other data centre.
 func (n *Node) distributeEvacuations(remote bool) {
 	now := n.clock.Now()
-	n.sendEvacuations(now, n.board.ChangeRecipients(now, remote)...)
+	n.sendEvacuations(now, n.peerTable.ChangeRecipients(now, remote)...)
 }
 
 func (n *Node) sendEvacuations(now time.Time, to ...netip.AddrPort) {
@@ -196,7 +196,7 @@
 		return
 	}
 	// A VM of another data centre sends the list to only one VM here.
-	if changed && !n.board.IsNear(from) {
+	if changed && !n.peerTable.IsNear(from) {
 		n.distributeEvacuations(false)
 	}
 }
--- a/entry/evacuation_test.go
+++ b/entry/evacuation_test.go
@@ -35,7 +35,7 @@
 
 // Guards against flows into an evacuated data centre after all VMs restart. The store refuses
 // all reads but those of one VM, and the other VMs receive the evacuation from that one. A
-// copy of the store that is seconds old does not end it; the end by the operators does.
+// replica of the store that is seconds old does not end it; the end by the operators does.
 func TestEvacuation(t *testing.T) {
 	f := newFixture(t, 95, 2)
 	_, r := f.targetIn(1, "b")
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -59,13 +59,13 @@
 	// rankSettleTime is how long a VM that has started waits for heartbeats of others before
 	// it acts as the first by rank.
 	rankSettleTime = 700 * time.Millisecond
-	// copyConfirmDelay is how long content from a copy of the store may stay unconfirmed
-	// before the first VM by rank reads the store. copyConfirmSpread is the share of the bound
-	// over which VMs that start together spread that read: many of them act as the first until
+	// replicaConfirmDelay is how long content from a replica may stay unconfirmed before the
+	// first VM by rank reads the store. replicaConfirmSpread is the share of the bound over
+	// which VMs that start together spread that read: many of them act as the first until
 	// they have received heartbeats of all. All VMs receive the result of the first read
 	// within half a second.
-	copyConfirmDelay  = 1200 * time.Millisecond
-	copyConfirmSpread = 0.25
+	replicaConfirmDelay  = 1200 * time.Millisecond
+	replicaConfirmSpread = 0.25
 
 	// sectionTimeout is how long a VM with incomplete targets waits for the next section
 	// before it reads all targets from the store.
@@ -86,11 +86,11 @@
 	sourceStore = "store"
 	sourceWatch = "watch"
 	sourcePeer  = "peer"
-	// sourceCopy is a copy of the store, which may be seconds old.
-	sourceCopy = "copy"
+	// sourceReplica is a replica of the store, which may be seconds old.
+	sourceReplica = "copy"
 )
 
-var updateSources = []string{sourceStore, sourceWatch, sourcePeer, sourceCopy}
+var updateSources = []string{sourceStore, sourceWatch, sourcePeer, sourceReplica}
 
 // storeSyncer keeps the cached state in sync with the store.
 //
@@ -167,7 +167,7 @@
 // dueAt returns when the query has to be read again.
 func (s *storeSyncer) dueAt(now time.Time, q *storeQuery) time.Time {
 	age := readAgeForRank(s.node.rank(now))
-	if !s.node.board.KnowsOthers(now) {
+	if !s.node.peerTable.KnowsOthers(now) {
 		age = max(age, backupReadAge) // in a fleet that starts, most VMs have received no heartbeat of a VM with a lower rank yet
 	}
 	first := s.kindDueAt(q, q.primaryKind(), age)
@@ -188,15 +188,15 @@
 		return earlierOf(laterOf(due, since.Add(sectionTimeout)), due.Add(maxSectionWait))
 	}
 	if cached.unconfirmed {
-		wait := copyConfirmDelay + time.Duration((min(age, backupReadAge)-firstReadAge+copyConfirmSpread*s.expSpread)*float64(q.applyBound))
+		wait := replicaConfirmDelay + time.Duration((min(age, backupReadAge)-firstReadAge+replicaConfirmSpread*s.expSpread)*float64(q.applyBound))
 		return s.node.startedAt.Add(min(wait, time.Duration(maxReadAge*float64(q.applyBound))))
 	}
 	return cached.confirmedAt.Add(time.Duration(age * float64(q.applyBound)))
 }
 
-// freshness returns how fresh the next read has to be. A VM that starts reads a copy of the
+// freshness returns how fresh the next read has to be. A VM that starts reads a replica of the
 // store, which costs a tenth of a read of the newest state, and serves by it at once. Within
-// two seconds the heartbeats of the others, or a read when it is due, tell whether the copy
+// two seconds the heartbeats of the others, or a read when it is due, tell whether the replica
 // was up to date. If all first reads were of the newest state, a fleet that starts would read
 // every page once for each VM at the full cost.
 func (q *storeQuery) freshness(incomplete bool) baobabstep.Freshness {
@@ -246,7 +246,7 @@
 
 // shouldWatch reports whether this VM runs the fleet's watches of the store.
 func (s *storeSyncer) shouldWatch(now time.Time) bool {
-	return s.node.rank(now).First() && now.Sub(s.node.startedAt) >= rankSettleTime && s.node.board.KnowsOthers(now)
+	return s.node.rank(now).First() && now.Sub(s.node.startedAt) >= rankSettleTime && s.node.peerTable.KnowsOthers(now)
 }
 
 // readLoop reads a query whenever it is due, until ctx ends.
@@ -318,7 +318,7 @@
 	switch {
 	case absent && now.Sub(s.node.startedAt) < rankSettleTime:
 		return rankSettleTime + time.Duration(s.expSpread*float64(missingTableSpread)) // until it knows which VM is the first by rank
-	case absent && rank.First() && s.node.board.KnowsOthers(now):
+	case absent && rank.First() && s.node.peerTable.KnowsOthers(now):
 		return missingTableRetry
 	case absent:
 		return 2 * missingTableRetry
--- a/entry/heartbeat_bench_test.go
+++ b/entry/heartbeat_bench_test.go
@@ -144,7 +144,7 @@
 	for i, r := range list {
 		loads[i] = baobabstep.TargetLoad{Target: r.ID, Requests: 20 * rng.Float64()}
 		if i%targetsPerOutlier == 0 {
-			loads[i].Answers, loads[i].Failed, loads[i].MeanDuration, loads[i].Callers = 6, 3, 60*time.Millisecond, 0b10011
+			loads[i].Answers, loads[i].Failed, loads[i].MeanLatency, loads[i].Callers = 6, 3, 60*time.Millisecond, 0b10011
 		}
 	}
 	return loads
--- a/entry/logging.go
+++ b/entry/logging.go
@@ -55,12 +55,12 @@
 	if e.Unanswered > 0 || e.OthersUnanswered > 0 {
 		fields["unanswered"], fields["opens_unanswered"], fields["others_unanswered"] = e.Unanswered, e.Opens, e.OthersUnanswered
 	}
-	if e.Aim > 0 {
-		fields["took_ms"], fields["aim_ms"] = e.AnswerTime.Milliseconds(), e.Aim.Milliseconds()
+	if e.LatencyObjective > 0 {
+		fields["took_ms"], fields["aim_ms"] = e.Latency.Milliseconds(), e.LatencyObjective.Milliseconds()
 	}
 	if e.Answers > 0 {
 		fields["answers"], fields["failed"], fields["callers_failed"] = roundToTenth(e.Answers), roundToTenth(e.Failed), e.FailedCallers
-		fields["peers_failed_share"] = roundToTenth(100*e.PeerFailureShare) / 100
+		fields["peers_failed_share"] = roundToTenth(100*e.PeerFailureRate) / 100
 	}
 	n.log.WithFields(fields).Info(e.Kind.String())
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -13,7 +13,7 @@
 const maxMetricsDelay = time.Second
 
 // requestBounds are the upper bounds of request_seconds. They range from a tenth of the usual
-// duration of a request to the time limits of callers.
+// latency to the time limits of callers.
 var requestBounds = []float64{0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 2, 5}
 
 // batchBounds are the upper bounds of batch_seconds.
@@ -132,7 +132,7 @@
 
 func (n *Node) readPeers() map[string]float64 {
 	peers := make(map[string]float64)
-	for name, vms := range n.board.LiveCounts(n.clock.Now()) {
+	for name, vms := range n.peerTable.LiveCounts(n.clock.Now()) {
 		peers[name] = float64(vms)
 	}
 	return peers
--- a/entry/model_test.go
+++ b/entry/model_test.go
@@ -50,14 +50,14 @@
 	evacuated []string
 	// tableAt, targetsAt and evacuatedAt are when the newest content was accepted.
 	tableAt, targetsAt, evacuatedAt time.Time
-	// copied is the content of a copy of the store, which may be seconds old.
-	copied modelCopy
-	down   bool
-	calls  int
+	// replica is the content of a replica of the store, which may be seconds old.
+	replica modelContent
+	down    bool
+	calls   int
 }
 
-// modelCopy is the content of the store at a time.
-type modelCopy struct {
+// modelContent is the content of the store at a time.
+type modelContent struct {
 	revision  baobabstep.Revision
 	table     *baobabstep.RoutingTable
 	targets   []baobabstep.Registration
@@ -65,22 +65,22 @@
 	at        time.Time
 }
 
-// copyLag is the maximum lag of a copy behind the store.
-const copyLag = 6 * time.Second
+// replicaLag is the maximum lag of a replica behind the store.
+const replicaLag = 6 * time.Second
 
-// refreshCopy updates the copy if it is due or was never made.
-func (s *modelStore) refreshCopy(now time.Time) {
-	if s.copied.table == nil || now.Sub(s.copied.at) >= copyLag {
-		s.copied = modelCopy{s.revision, s.table, s.targets, s.evacuated, now}
+// refreshReplica updates the replica if it is due or was never made.
+func (s *modelStore) refreshReplica(now time.Time) {
+	if s.replica.table == nil || now.Sub(s.replica.at) >= replicaLag {
+		s.replica = modelContent{s.revision, s.table, s.targets, s.evacuated, now}
 	}
 }
 
 // read returns the content that a read of a freshness gets.
-func (s *modelStore) read(how baobabstep.Freshness) modelCopy {
+func (s *modelStore) read(how baobabstep.Freshness) modelContent {
 	if how == baobabstep.Recent {
-		return s.copied
+		return s.replica
 	}
-	return modelCopy{revision: s.revision, table: s.table, targets: s.targets, evacuated: s.evacuated}
+	return modelContent{revision: s.revision, table: s.table, targets: s.targets, evacuated: s.evacuated}
 }
 
 // modelDirectory is the store as accessed by one VM.
@@ -300,7 +300,7 @@
 // all messages and those sent in response.
 func (m *model) step() {
 	m.now = m.now.Add(stepTime)
-	m.store.refreshCopy(m.now)
+	m.store.refreshReplica(m.now)
 	for _, vm := range m.vms {
 		for _, r := range []*storeQuery{vm.desired, vm.targets} {
 			// A failed read is retried after about the second-shortest delay.
@@ -380,11 +380,11 @@
 	vm.node.cache.mu.Lock()
 	list := vm.node.cache.evacuated
 	vm.node.cache.mu.Unlock()
-	fromCopy := held.revisionFromCopy || held.revision.Number == copyRevisionNumber
+	fromReplica := held.revisionFromReplica || held.revision.Number == replicaRevisionNumber
 	switch want := m.evacuatedAt(held.revision); {
-	case fromCopy && !m.wasEverEvacuated(list):
+	case fromReplica && !m.wasEverEvacuated(list):
 		m.t.Fatalf("VM %d holds evacuations %v, which the store never held", vm.index, list)
-	case fromCopy: // the revision of a copy does not identify the content
+	case fromReplica: // the revision of a replica does not identify the content
 		return
 	case held.revision.Before(vm.evacuations):
 		m.t.Fatalf("VM %d went from revision %v of evacuations to %v", vm.index, vm.evacuations, held.revision)
@@ -439,7 +439,7 @@
 				vm.storeUnreachable, vm.reachableSince = !vm.storeUnreachable, m.now
 			},
 			"restore the store": func(t *rapid.T) {
-				m.restoreAndRewrite(t, m.store.copied)
+				m.restoreAndRewrite(t, m.store.replica)
 			},
 			"stop or start the store": func(*rapid.T) { m.store.down, m.availabilityChangedAt = !m.store.down, m.now },
 			"restart a VM":            func(*rapid.T) { m.restart(m.anyVM()) },
--- a/entry/node.go
+++ b/entry/node.go
@@ -42,7 +42,7 @@
 	// unanswered. Dozens of flows detect such a target at the same moment.
 	minAlarmInterval = 20 * time.Millisecond
 	// maxStartupWait bounds how long segments wait in the socket of a VM that has just started
-	// for its first routing table. Callers send a copy of what was not answered after 0.2 s,
+	// for its first routing table. Callers retransmit what was not answered after 0.2 s,
 	// possibly over another VM, so an older segment may already have been served: an old first
 	// segment would open a second target whose token the caller adopts, and an old request
 	// would arrive after the next one.
@@ -76,7 +76,7 @@
 	clock     baobabstep.Clock
 	router    *token.Router
 	cache     *stateCache
-	board     *heartbeat.PeerTable
+	peerTable *heartbeat.PeerTable
 	exchange  peerExchange
 	syncer    *storeSyncer
 	counters  counters
@@ -116,7 +116,7 @@
 		EventEnabled:       n.wantsEvent,
 	})
 	n.cache = newStateCache(n.router, n.log, o.LogLimiter)
-	n.board = heartbeat.New(n.startedAt, heartbeat.Options{
+	n.peerTable = heartbeat.New(n.startedAt, heartbeat.Options{
 		Self: o.Settings.VM().ID, DataCentre: o.Settings.DataCentre, Address: o.Settings.PeerAddress,
 		Incarnation: uint64(n.startedAt.UnixMilli()), Seeds: o.Settings.Seeds,
 		Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())),
@@ -258,7 +258,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.router.UrgentReportsPending():
+		case <-n.router.AlarmsPending():
 			n.sendAlarm(n.clock.Now())
 			sleep(ctx, minAlarmInterval, nil)
 		case <-ticker.C:
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -151,7 +151,7 @@
 	case m.Evacuations != nil:
 		n.handleEvacuations(now, from, m.Evacuations)
 	case m.Alarm != nil:
-		n.router.SetSilenceReports(now, n.board.HandleAlarm(now, from, m.Alarm))
+		n.router.SetSilenceReports(now, n.peerTable.HandleAlarm(now, from, m.Alarm))
 	case m.Fragment != nil:
 		n.handleFragment(now, from, m.Fragment)
 	case m.Section != nil:
@@ -181,14 +181,14 @@
 // handleHeartbeat confirms state that the sender also holds, and requests state of which the
 // sender announces a newer revision.
 func (n *Node) handleHeartbeat(now time.Time, from netip.AddrPort, h *heartbeat.Heartbeat) {
-	if !n.board.Handle(now, from, h) {
+	if !n.peerTable.Handle(now, from, h) {
 		return
 	}
 	for _, kind := range compareOrder {
 		n.compareHeld(now, kind, h)
 	}
-	if n.board.HasNewPeers() {
-		n.sendAll(n.board.AnswerNewPeers(now, heartbeat.LocalState{Leaving: n.stopping.Load(), StoreUnreadable: n.isStoreUnreadable(), Versions: n.cache.announcedStates(now)}))
+	if n.peerTable.HasNewPeers() {
+		n.sendAll(n.peerTable.AnswerNewPeers(now, heartbeat.LocalState{Leaving: n.stopping.Load(), StoreUnreadable: n.isStoreUnreadable(), Versions: n.cache.announcedStates(now)}))
 	}
 }
 
@@ -214,7 +214,7 @@
 // sendWant requests a kind from a VM that holds a newer revision of it, if there is one.
 func (n *Node) sendWant(now time.Time, kind heartbeat.Kind) {
 	cached := n.cache.state(kind)
-	source, ok := n.board.FindNewer(now, kind, cached.revision, cached.sum)
+	source, ok := n.peerTable.FindNewer(now, kind, cached.revision, cached.sum)
 	if !ok {
 		return
 	}
@@ -247,7 +247,7 @@
 		s.outdated[kind], s.outdatedSince[kind] = current, now
 	}
 	initialised := current != baobabstep.Revision{}
-	if initialised && now.Sub(s.outdatedSince[kind]) < n.board.RelayDelay() || now.Sub(s.lastWantAt[kind]) < minWantInterval {
+	if initialised && now.Sub(s.outdatedSince[kind]) < n.peerTable.RelayDelay() || now.Sub(s.lastWantAt[kind]) < minWantInterval {
 		return false
 	}
 	s.lastWantAt[kind] = now
@@ -256,7 +256,7 @@
 
 // rank returns this VM's rank among those that may read the store.
 func (n *Node) rank(now time.Time) heartbeat.Rank {
-	return n.board.Rank(now, n.isStoreUnreadable())
+	return n.peerTable.Rank(now, n.isStoreUnreadable())
 }
 
 // isStoreUnreadable reports whether the last read of the store failed for some kind.
@@ -267,29 +267,29 @@
 // tickHeartbeats sends the heartbeats that are due, and passes the loads that peers announced
 // to the router.
 func (n *Node) tickHeartbeats(now time.Time) {
-	if n.board.HeartbeatsDue(now) {
-		n.sendAll(n.board.Tick(now, n.ownState(now)))
+	if n.peerTable.HeartbeatsDue(now) {
+		n.sendAll(n.peerTable.Tick(now, n.ownState(now)))
 	}
 	n.requestMissingSections(now)
-	live := n.board.LiveCounts(now)
-	n.board.MarkLoadsChanged(n.router.TakeNewTargets())
-	n.router.SetReports(now, n.board.Loads(now), live)
+	live := n.peerTable.LiveCounts(now)
+	n.peerTable.MarkLoadsChanged(n.router.TakeNewTargets())
+	n.router.SetPeerLoads(now, n.peerTable.Loads(now), live)
 	if n.router.HasColdLimits() {
-		n.router.SetView(n.board.View(now))
+		n.router.SetView(n.peerTable.View(now))
 	}
 	n.logDataCentreChanges(live)
 	n.logRankChange(n.rank(now))
 }
 
-// sendAlarm sends the targets in trouble to the VMs of the own data centre.
+// sendAlarm sends an alarm about silent targets to the VMs of the own data centre.
 func (n *Node) sendAlarm(now time.Time) {
-	n.sendAll(n.board.MakeAlarms(now, n.router.TakeUrgentReports(now)))
+	n.sendAll(n.peerTable.MakeAlarms(now, n.router.TakeAlarms(now)))
 }
 
 func (n *Node) ownState(now time.Time) heartbeat.LocalState {
 	return heartbeat.LocalState{
 		Leaving: n.stopping.Load(), StoreUnreadable: n.isStoreUnreadable(),
-		Versions: n.cache.announcedStates(now), Loads: n.router.Reports(now),
+		Versions: n.cache.announcedStates(now), Loads: n.router.Loads(now),
 	}
 }
 
--- a/entry/read.go
+++ b/entry/read.go
@@ -22,11 +22,11 @@
 	return revision, errors.Join(err, s.node.updateRoutes(state.Table, from))
 }
 
-// readOrigin returns the origin of content that was read. Content of a copy counts as maxAge
-// old until the store or another VM confirms it.
+// readOrigin returns the origin of content that was read. Content of a replica counts as
+// maxAge old until the store or another VM confirms it.
 func readOrigin(freshness baobabstep.Freshness, start time.Time, maxAge time.Duration) origin {
 	if freshness == baobabstep.Recent {
-		return origin{source: sourceCopy, confirmedAt: start.Add(-maxAge), fromCopy: true}
+		return origin{source: sourceReplica, confirmedAt: start.Add(-maxAge), fromReplica: true}
 	}
 	return origin{source: sourceStore, confirmedAt: start}
 }
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	for _, n := range f.nodes {
-		n.board.Tick(f.now.Add(time.Second), n.ownState(f.now))
+		n.peerTable.Tick(f.now.Add(time.Second), n.ownState(f.now))
 	}
 	f.queue = nil
 	clear(f.sent)
--- a/entry/restore_model_test.go
+++ b/entry/restore_model_test.go
@@ -14,20 +14,20 @@
 )
 
 // restore restores the model's store from a backup, in a new era.
-func (m *model) restore(backup modelCopy) {
+func (m *model) restore(backup modelContent) {
 	s := m.store
 	s.revision = baobabstep.Revision{Era: s.revision.Era + 1, Number: backup.revision.Number}
 	s.table, s.targets, s.evacuated = backup.table, backup.targets, backup.evacuated
 	m.evacuations[s.revision] = s.evacuated
 	s.tableAt, s.targetsAt, s.evacuatedAt = m.now, m.now, m.now
-	// The worst case of copies: they lag behind the restore, and have revision numbers of lost
-	// changes.
-	s.copied.revision = baobabstep.Revision{Era: s.revision.Era, Number: s.revision.Number + 100}
-	s.copied.at = m.now
+	// The worst case of replicas: they lag behind the restore, and have revision numbers of
+	// lost changes.
+	s.replica.revision = baobabstep.Revision{Era: s.revision.Era, Number: s.revision.Number + 100}
+	s.replica.at = m.now
 }
 
 // rewriteLost writes again, as operators and targets do, what a backup lacked.
-func (m *model) rewriteLost(lost modelCopy) {
+func (m *model) rewriteLost(lost modelContent) {
 	s := m.store
 	s.revision.Number++
 	s.table, s.targets, s.evacuated = lost.table, lost.targets, lost.evacuated
@@ -37,7 +37,7 @@
 
 // restoreAndRewrite restores the store from a backup. Operators and targets write again what
 // it lacks within two seconds.
-func (m *model) restoreAndRewrite(t *rapid.T, backup modelCopy) {
+func (m *model) restoreAndRewrite(t *rapid.T, backup modelContent) {
 	lost := m.store.read(baobabstep.Newest)
 	m.restore(backup)
 	m.steps(rapid.IntRange(0, 20).Draw(t, "steps until written again"))
@@ -144,18 +144,18 @@
 	})
 }
 
-// Guards against updates that are ignored because a lagging copy of a restored store reported
-// a revision that the store has not reached.
-func TestStoreOverridesCopy(t *testing.T) {
+// Guards against updates that are ignored because a lagging replica of a restored store
+// returned a revision that the store has not reached.
+func TestStoreOverridesReplica(t *testing.T) {
 	n := newQuietNode(new(countingMessages))
-	fromCopy := origin{source: sourceCopy, confirmedAt: benchEpoch, fromCopy: true}
+	fromReplica := origin{source: sourceReplica, confirmedAt: benchEpoch, fromReplica: true}
 	fromStore := origin{source: sourceStore, confirmedAt: benchEpoch.Add(time.Second)}
 	claimed, actual := baobabstep.Revision{Era: 2, Number: 500}, baobabstep.Revision{Era: 2, Number: 450}
 	list := benchRegistrations(1)
 	leaving := slices.Clone(list)
 	leaving[0].Draining = true
-	qt.Assert(t, n.updateTargets(list, claimed, fromCopy), qt.IsNil)
-	qt.Assert(t, n.updateEvacuations([]string{"dc-a"}, claimed, fromCopy), qt.IsNil)
+	qt.Assert(t, n.updateTargets(list, claimed, fromReplica), qt.IsNil)
+	qt.Assert(t, n.updateEvacuations([]string{"dc-a"}, claimed, fromReplica), qt.IsNil)
 	qt.Assert(t, n.updateTargets(leaving, actual, fromStore), qt.IsNil)
 	qt.Assert(t, n.updateEvacuations([]string{"dc-b"}, actual, fromStore), qt.IsNil)
 	held, _ := n.cache.targets.Get(list[0].ID)
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -8,10 +8,10 @@
 	"baobabstep/platform/standin"
 )
 
-// Guards against a VM that keeps the content of an outdated copy of the store that it started
-// from. The copy holds a route that has been removed since. The VM serves by it at once, and
-// reads the newest content itself before any time limit applies to the outdated one.
-func TestStartFromOutdatedCopy(t *testing.T) {
+// Guards against a VM that keeps the content of an outdated replica of the store that it
+// started from. The replica holds a route that has been removed since. The VM serves by it at
+// once, and reads the newest content itself before any time limit applies to the outdated one.
+func TestStartFromOutdatedReplica(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 93, 1)
 	f.target(1)
@@ -30,19 +30,20 @@
 }
 
 // Guards against reads of the newest content by a VM that starts while another VM runs. The
-// copies of the store are up to date and the other VM confirms them, so only copies are read.
-func TestStartBesideAnotherVMReadsCopiesOnly(t *testing.T) {
+// replicas of the store are up to date and the other VM confirms them, so only replicas are
+// read.
+func TestStartBesideAnotherVMReadsReplicasOnly(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 94, 1)
 	f.target(1)
 	f.eventually("a request is answered", func() bool { return f.request(1) == standin.Answered })
-	copies := f.store.ReplicaReads()
+	replicaReads := f.store.ReplicaReads()
 	f.vms = append(f.vms, f.startVM(2))
 	f.eventually("the second VM is ready", func() bool { return f.vms[1].node.Ready() == nil })
 	f.eventually("the second VM can receive messages of the first", func() bool {
 		return f.logged("fleet secret set", func(fields map[string]any) bool { return fields["vm"] == "vm-2" })
 	})
-	qt.Assert(t, f.store.ReplicaReads()-copies, qt.Equals, 3) // routes, targets, secret
+	qt.Assert(t, f.store.ReplicaReads()-replicaReads, qt.Equals, 3) // routes, targets, secret
 }
 
 func firstLine(lines []logLine, message string) map[string]any {
--- a/entry/startup_wait_test.go
+++ b/entry/startup_wait_test.go
@@ -37,8 +37,8 @@
 // Guards against first segments that are dropped because they arrive before the first routing
 // table, which takes 0.1 s on a small VM; callers repeat them only 0.4 to 0.8 s later, or give
 // up. Segments that arrive earlier wait in the socket, but for less time than callers wait
-// before they send a copy: the copy goes over another VM, and a late first segment would open
-// a second target, or run a request again.
+// before they retransmit: the retransmission goes over another VM, and a late first segment
+// would open a second target, or run a request again.
 func TestSegmentsWaitForFirstTable(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -47,7 +47,7 @@
 		sent       int
 	}{
 		{"the store responds", 110 * time.Millisecond, 110 * time.Millisecond, 1},
-		{"the store responds after a caller may have sent a copy", 190 * time.Millisecond, maxStartupWait, 0},
+		{"the store responds after a caller may have retransmitted", 190 * time.Millisecond, maxStartupWait, 0},
 		{"the store is unavailable", time.Hour, maxStartupWait, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -232,7 +232,7 @@
 	sleep(ctx, faultTime(r))
 	f.leave(t)
 	again := t.registration
-	again.ColdFor = coldLasts
+	again.WarmupLeft = coldLasts
 	if err := f.startTarget(again); err != nil {
 		f.judge.note("a target could not start again: %v", err)
 	}
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -170,7 +170,7 @@
 	defer f.mu.Unlock()
 	f.nextID += 7919
 	r.ID = f.nextID
-	f.judge.startedCold(r.ID, time.Now(), r.ColdFor)
+	f.judge.startedCold(r.ID, time.Now(), r.WarmupLeft)
 	t, err := standin.NewTarget(standin.TargetOptions{
 		ID: r.ID, Service: r.Service, Address: r.Address, CallerPort: dataPort, RequestDuration: 10 * time.Millisecond, Slots: 8,
 		OnRequest: f.judge.ran, OnFlow: func(target uint64) { f.judge.accepted(target, time.Now()) },
