--- a/core/answer/tally.go
+++ b/core/answer/counter.go
@@ -4,7 +4,7 @@
 	"math/bits"
 	"time"
 
-	"baobabstep/core/fade"
+	"baobabstep/core/decay"
 )
 
 //go:generate stringer -type=Outcome -linecomment -output=outcome_string.go
@@ -78,7 +78,7 @@
 
 // decayTo reduces all weights to their values at the given time.
 func (s *Counter) decayTo(now time.Time) {
-	factor := fade.Factor(now.Sub(s.updatedAt), window)
+	factor := decay.Factor(now.Sub(s.updatedAt), window)
 	s.answers *= factor
 	s.failed *= factor
 	s.totalSeconds *= factor
--- a/core/answer/judge.go
+++ b/core/answer/health.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"baobabstep/core/fade"
+	"baobabstep/core/decay"
 )
 
 const (
@@ -108,7 +108,7 @@
 			h.trialStart, h.failedAtTrialStart = now, e.Target.Failed
 		}
 	case OnTrial:
-		old := h.failedAtTrialStart * fade.Factor(now.Sub(h.trialStart), window)
+		old := h.failedAtTrialStart * decay.Factor(now.Sub(h.trialStart), window)
 		switch {
 		case e.Target.Failed-old >= trialFailureLimit:
 			h.markFailing(now, e.excessFailureRate())
--- a/core/fade/fade.go
+++ b/core/decay/decay.go
@@ -1,7 +1,7 @@
-// Package fade implements exponential decay of weights by age. A new observation has full
+// Package decay implements exponential decay of weights by age. A new observation has full
 // weight, which then decreases continuously, so that no observation drops out of a window
 // at once.
-package fade
+package decay
 
 import (
 	"math"
--- a/core/fade/fade_test.go
+++ b/core/decay/decay_test.go
@@ -1,4 +1,4 @@
-package fade_test
+package decay_test
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"baobabstep/core/fade"
+	"baobabstep/core/decay"
 )
 
 func ExampleFactor() {
-	fmt.Printf("%.2f", fade.Factor(2*time.Second, time.Second))
+	fmt.Printf("%.2f", decay.Factor(2*time.Second, time.Second))
 	// Output: 0.14
 }
 
@@ -23,7 +23,7 @@
 	}{
 		{-time.Second, 1}, {0, 1}, {time.Second, 1 / math.E}, {time.Hour, 0},
 	} {
-		got := fade.Factor(test.passed, time.Second)
+		got := decay.Factor(test.passed, time.Second)
 		qt.Check(t, math.Abs(got-test.want) < 1e-9, qt.IsTrue, qt.Commentf("after %v: got %v, want %v", test.passed, got, test.want))
 	}
 }
--- a/core/token/load.go
+++ b/core/token/load.go
@@ -8,7 +8,7 @@
 
 	"baobabstep"
 	"baobabstep/core/answer"
-	"baobabstep/core/fade"
+	"baobabstep/core/decay"
 )
 
 // loadWindow is the time over which requests count as load. It is long compared with the
@@ -232,7 +232,7 @@
 	if c.value == 0 {
 		return 0 // true of most targets in a large fleet
 	}
-	return c.value * fade.Factor(now.Sub(c.at), loadWindow)
+	return c.value * decay.Factor(now.Sub(c.at), loadWindow)
 }
 
 func (c *decayingCounter) add(now time.Time, n float64) {
