--- a/core/answer/answer_test.go
+++ b/core/answer/answer_test.go
@@ -62,18 +62,18 @@
 }
 
 func TestOutcomesDecay(t *testing.T) {
-	var tally TargetCounter
+	var counter TargetCounter
 	for i := range 10 {
-		tally.Add(start, Answered, uint64(i), 30*time.Millisecond)
+		counter.Add(start, Answered, uint64(i), 30*time.Millisecond)
 	}
-	tally.Add(start, Short, 1, 0)
-	s := tally.Sample(start)
+	counter.Add(start, Short, 1, 0)
+	s := counter.Sample(start)
 	qt.Assert(t, [2]float64{s.Answers, s.Failed}, qt.Equals, [2]float64{11, 1})
 	qt.Assert(t, s.Latency, qt.Equals, 30*time.Millisecond)
-	later := tally.Sample(start.Add(window))
+	later := counter.Sample(start.Add(window))
 	qt.Assert(t, later.Answers > 4 && later.Answers < 4.1, qt.IsTrue, qt.Commentf("%v", later.Answers))
 	qt.Assert(t, later.Latency.Round(time.Microsecond), qt.Equals, 30*time.Millisecond)
-	qt.Assert(t, tally.Sample(start.Add(time.Hour)).Latency, qt.Equals, time.Duration(0))
+	qt.Assert(t, counter.Sample(start.Add(time.Hour)).Latency, qt.Equals, time.Duration(0))
 }
 
 func TestSampleMerge(t *testing.T) {
@@ -95,25 +95,25 @@
 func (f *simulatedService) countDetections(seed uint64, seconds int) []int {
 	const step = 100 * time.Millisecond
 	draw := rand.New(rand.NewPCG(seed, 1))
-	tallies := make([]TargetCounter, len(f.failureRates))
-	verdicts := make([]Health, len(f.failureRates))
+	counters := make([]TargetCounter, len(f.failureRates))
+	healths := make([]Health, len(f.failureRates))
 	detections := make([]int, len(f.failureRates))
 	for i := range seconds * int(time.Second/step) {
 		now := start.Add(time.Duration(i) * step)
 		samples := make([]Sample, len(f.failureRates))
-		for j := range tallies {
+		for j := range counters {
 			for range int(f.requestRate*step.Seconds() + draw.Float64()) {
 				outcome := Answered
 				if draw.Float64() < f.failureRates[j] {
 					outcome = Short
 				}
-				tallies[j].Add(now, outcome, uint64(draw.IntN(f.callers)), 30*time.Millisecond)
+				counters[j].Add(now, outcome, uint64(draw.IntN(f.callers)), 30*time.Millisecond)
 			}
-			samples[j] = tallies[j].Sample(now)
+			samples[j] = counters[j].Sample(now)
 		}
 		peers := UsualFailureRate(samples)
-		for j := range verdicts {
-			if verdicts[j].Update(now, Observations{Target: samples[j], PeerFailureRate: peers, FailedCallers: tallies[j].FailedCallers(now)}) && verdicts[j].State == Failing {
+		for j := range healths {
+			if healths[j].Update(now, Observations{Target: samples[j], PeerFailureRate: peers, FailedCallers: counters[j].FailedCallers(now)}) && healths[j].State == Failing {
 				detections[j]++
 			}
 		}
@@ -251,10 +251,10 @@
 }
 
 func BenchmarkTargetCounter(b *testing.B) {
-	var tally TargetCounter
+	var counter TargetCounter
 	now := start
 	for i := uint64(0); b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		tally.Add(now, Outcome(i%8/7), i%40, 30*time.Millisecond)
+		counter.Add(now, Outcome(i%8/7), i%40, 30*time.Millisecond)
 	}
 }
--- a/core/heartbeat/view.go
+++ b/core/heartbeat/view.go
@@ -18,11 +18,10 @@
 //
 // Silent VMs keep their shares until they are removed. If a VM in a partition took over
 // the shares of the others, several such VMs would each use the whole quota. In two cases
-// the view is not settled, and the VM uses nothing. A VM that hears nobody although others
-// exist may have been removed by them meanwhile. A VM that has just started, and has seeds
-// that no VM has heard, may be in one part of a partition, with others in the other part
-// in the same
-// situation.
+// the view is not settled, and the VM uses nothing. If a VM hears from no other although
+// others exist, they may have removed it in the meantime. If a VM has just started, and no
+// VM has heard from some of its seeds, it may be in one part of a partitioned network while
+// VMs in the other part are in the same situation.
 func (t *PeerTable) View(now time.Time) *quota.View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/token/answers.go
+++ b/core/token/answers.go
@@ -133,7 +133,7 @@
 	return slices.Collect(maps.Values(s.byName))
 }
 
-// scheduleReview marks a target for the next reviewVerdicts.
+// scheduleReview marks a target for the next reviewAnswerHealth.
 func (r *Router) scheduleReview(t *target) { r.pendingReviews.add(t.id) }
 
 // settleRequest counts the outcome of the flow's pending request once bytes of its answer
@@ -195,14 +195,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markActive()
-	return l.tally.Add(now, outcome, caller, took)
+	return l.outcomes.Add(now, outcome, caller, took)
 }
 
-// currentVerdict returns the verdict on the target.
-func (l *load) currentVerdict() answer.Health {
+// currentAnswerHealth returns the health of the target by its answers.
+func (l *load) currentAnswerHealth() answer.Health {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.verdict
+	return l.answerHealth
 }
 
 // trialInterval returns the time between two flows of this VM to a target on trial, so that
@@ -211,9 +211,9 @@
 	return answer.TrialInterval * time.Duration(r.vmCount())
 }
 
-// reviewVerdicts refreshes the service statistics and updates the verdicts of the targets
-// marked for review.
-func (r *Router) reviewVerdicts(now time.Time, s *snapshot) {
+// reviewAnswerHealth refreshes the service statistics and updates the answer health of the
+// targets marked for review.
+func (r *Router) reviewAnswerHealth(now time.Time, s *snapshot) {
 	for _, service := range s.services.all() {
 		service.refresh(now)
 	}
@@ -226,11 +226,11 @@
 		if _, known := peers[name]; !known {
 			peers[name] = r.peerFailureRate(now, s.pools[name])
 		}
-		changed, verdict, e := t.load.updateVerdict(now, peers[name], r.enabled(MechanismTrials))
+		changed, health, e := t.load.updateAnswerHealth(now, peers[name], r.enabled(MechanismTrials))
 		if changed {
-			r.recordVerdict(now, s, t, verdict.State, e)
+			r.recordAnswerHealth(now, s, t, health.State, e)
 		}
-		if verdict.State != answer.Trusted || e.Target.Failed >= minReportedFailures {
+		if health.State != answer.Trusted || e.Target.Failed >= minReportedFailures {
 			r.scheduleReview(t)
 		}
 	}
@@ -267,27 +267,27 @@
 func (l *load) latency(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tally.Sample(now).Merge(l.otherAnswers).Latency
+	return l.outcomes.Sample(now).Merge(l.otherAnswers).Latency
 }
 
 // ownAnswers returns what this VM saw of the target's answers.
 func (l *load) ownAnswers(now time.Time) answer.Sample {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tally.Sample(now)
+	return l.outcomes.Sample(now)
 }
 
-// updateVerdict updates the verdict on the target; peers is the usual failure rate in its
-// service.
-func (l *load) updateVerdict(now time.Time, peers float64, trials bool) (changed bool, verdict answer.Health, e answer.Observations) {
+// updateAnswerHealth updates the health of the target by its answers; peers is the usual
+// failure rate in its service.
+func (l *load) updateAnswerHealth(now time.Time, peers float64, trials bool) (changed bool, health answer.Health, e answer.Observations) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e = answer.Observations{
-		Target: l.tally.Sample(now).Merge(l.otherAnswers), PeerFailureRate: peers, FailedCallers: l.tally.FailedCallers(now) | l.otherCallers,
+		Target: l.outcomes.Sample(now).Merge(l.otherAnswers), PeerFailureRate: peers, FailedCallers: l.outcomes.FailedCallers(now) | l.otherCallers,
 	}
-	changed = l.verdict.Update(now, e)
-	if !trials && l.verdict.State == answer.OnTrial {
-		l.verdict.State, l.verdict.Penalty = answer.Trusted, 0
+	changed = l.answerHealth.Update(now, e)
+	if !trials && l.answerHealth.State == answer.OnTrial {
+		l.answerHealth.State, l.answerHealth.Penalty = answer.Trusted, 0
 	}
-	return changed, l.verdict, e
+	return changed, l.answerHealth, e
 }
--- a/core/token/doc.go
+++ b/core/token/doc.go
@@ -27,7 +27,7 @@
 // become suspect or unreachable, by the combined reports of all VMs of the data centre
 // (health.go, alarm.go), and are retried by one VM at a time (avoid.go). Targets that
 // answer but fail more often than their peers are scored as busier (answers.go; package
-// answer computes the verdicts). When even the best target answers too late, ordinary flows
+// answer computes their health). When even the best target answers too late, ordinary flows
 // are refused (admission.go). Each of these is a [Mechanism] that can be disabled.
 //
 // # Invariants
--- a/core/token/event.go
+++ b/core/token/event.go
@@ -78,7 +78,7 @@
 	// was.
 	SinceHeard time.Duration
 	// Answers and Failed are the recent answers of the target to all VMs, and
-	// PeerFailureRate the usual failure rate in its service, for changes of a verdict;
+	// PeerFailureRate the usual failure rate in its service, for changes of answer health;
 	// FailedCallers is a lower bound on the number of callers whose requests failed.
 	Answers, Failed, PeerFailureRate float64
 	FailedCallers                    int
@@ -138,8 +138,9 @@
 	}
 }
 
-// recordVerdict records a change of the verdict on a target, with its evidence.
-func (r *Router) recordVerdict(now time.Time, s *snapshot, t *target, state answer.State, evidence answer.Observations) {
+// recordAnswerHealth records a change of a target's answer health, with the observations
+// behind it.
+func (r *Router) recordAnswerHealth(now time.Time, s *snapshot, t *target, state answer.State, evidence answer.Observations) {
 	kind := EventTrusted
 	switch state {
 	case answer.Failing:
--- a/core/token/load.go
+++ b/core/token/load.go
@@ -32,12 +32,12 @@
 	// otherRequests are the recent requests of other VMs, by their latest loads.
 	otherRequests float64
 	health        health
-	// tally counts the outcomes of requests that this VM sent; otherAnswers and
+	// outcomes counts the outcomes of requests that this VM sent; otherAnswers and
 	// otherCallers are those in the loads of other VMs of the data centre.
-	tally        answer.TargetCounter
+	outcomes     answer.TargetCounter
 	otherAnswers answer.Sample
 	otherCallers answer.CallerSet
-	verdict      answer.Health
+	answerHealth answer.Health
 	// nextTrial is when a target on trial may get its next flow.
 	nextTrial time.Time
 	coldState coldState
@@ -90,14 +90,14 @@
 func (l *load) assess(now time.Time) assessment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answers := l.tally.Sample(now).Merge(l.otherAnswers)
-	onTrial := l.verdict.State == answer.OnTrial
+	answers := l.outcomes.Sample(now).Merge(l.otherAnswers)
+	onTrial := l.answerHealth.State == answer.OnTrial
 	suspect, needsProbe := l.health.status(now)
 	return assessment{
 		suspect: suspect, needsProbe: needsProbe,
 		ownRequests: l.ownRequests.read(now), otherRequests: l.otherRequests,
 		latency: answers.Latency.Seconds(), answers: answers.Answers - answers.Failed,
-		penalty: l.verdict.Penalty, onTrial: onTrial, trialDue: onTrial && !now.Before(l.nextTrial),
+		penalty: l.answerHealth.Penalty, onTrial: onTrial, trialDue: onTrial && !now.Before(l.nextTrial),
 	}
 }
 
@@ -128,12 +128,12 @@
 func (l *load) answerReport(now time.Time, mean time.Duration) (s answer.Sample, callers answer.CallerSet, notable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s = l.tally.Sample(now)
+	s = l.outcomes.Sample(now)
 	deviates := false
 	if answered := s.Answers - s.Failed; answered >= 1 && mean > 0 && s.Latency > 0 {
 		deviates = math.Abs(math.Log(s.Latency.Seconds()/mean.Seconds())) > max(minReportedLogRatio, singleAnswerLogRatio/math.Sqrt(answered))
 	}
-	return s, l.tally.FailedCallers(now), s.Failed >= minReportedFailures || deviates
+	return s, l.outcomes.FailedCallers(now), s.Failed >= minReportedFailures || deviates
 }
 
 // minReportedFailures is the weight of failures below which none are reported.
--- a/core/token/router.go
+++ b/core/token/router.go
@@ -54,7 +54,7 @@
 	flows        *flowTable
 	openingFlows *openingFlows
 	counts       counts
-	// pendingReviews are the targets whose verdicts the next Tick reviews.
+	// pendingReviews are the targets whose answer health the next Tick reviews.
 	pendingReviews targetSet
 	// vmsHeard is the number of other VMs heard from in each data centre.
 	vmsHeard atomic.Pointer[map[string]int]
@@ -352,7 +352,7 @@
 	})
 }
 
-// Tick drops idle flow records, reviews the verdicts of targets, and resets flows whose
+// Tick drops idle flow records, reviews the answer health of targets, and resets flows whose
 // requests will not be answered because their targets are unreachable.
 func (r *Router) Tick(now time.Time, out *[]baobabstep.OutgoingDatagram) {
 	s := r.current.Load()
@@ -371,5 +371,5 @@
 		}
 	}
 	r.openingFlows.expire(now)
-	r.reviewVerdicts(now, s)
+	r.reviewAnswerHealth(now, s)
 }
--- a/core/token/snapshot.go
+++ b/core/token/snapshot.go
@@ -311,7 +311,7 @@
 	if !t.sameIncarnation(old) {
 		s.newTargets.add(t.id)
 		if old != nil {
-			t.load.verdict = old.load.currentVerdict()
+			t.load.answerHealth = old.load.currentAnswerHealth()
 		}
 		return t
 	}
--- a/core/token/stats.go
+++ b/core/token/stats.go
@@ -46,7 +46,7 @@
 		stats.Outcomes[outcome.String()] = r.counts.outcomes[outcome].Load()
 	}
 	for _, t := range s.targets {
-		if t.load.currentVerdict().State != answer.Trusted {
+		if t.load.currentAnswerHealth().State != answer.Trusted {
 			stats.Failing++
 		}
 		if flows, _ := t.load.unansweredCounts(); flows >= suspectThreshold {
--- a/core/token/target.go
+++ b/core/token/target.go
@@ -43,8 +43,8 @@
 // sameIncarnation reports whether other is the same incarnation of the same target, so that
 // what was learned of one applies to the other. A target that restarts under its identifier
 // holds no flows, is idle and cold, and is not to blame for what the previous incarnation
-// left unanswered. Only the verdict on its answers is kept, so that a target that fails,
-// restarts and fails again is detected sooner.
+// left unanswered. Only its answer health is kept, so that a target that fails, restarts and
+// fails again is detected sooner.
 func (t *target) sameIncarnation(other *target) bool {
 	return other != nil && t.id == other.id && t.registration.StartedMS == other.registration.StartedMS
 }
--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -31,13 +31,13 @@
 	if !n.reserveServe(now, from, len(cached.content)) {
 		return // the requester asks another VM, or this one again, at the next heartbeat
 	}
-	pieces, err := heartbeat.SplitChunks(w.Kind, cached.announced(now), cached.content)
+	chunks, err := heartbeat.SplitChunks(w.Kind, cached.announced(now), cached.content)
 	if err != nil {
 		n.log.WithError(err).Error("cannot send content to a peer")
 		return
 	}
-	for _, piece := range pieces {
-		n.sendMessage(from, piece)
+	for _, chunk := range chunks {
+		n.sendMessage(from, chunk)
 	}
 }
 
