--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -8,8 +8,8 @@
 	"baobabstep/core/heartbeat"
 )
 
-// handleWant sends the requested content to a peer if this VM holds a newer revision.
-func (n *Node) handleWant(now time.Time, from netip.AddrPort, w *heartbeat.Request) {
+// handleRequest sends the requested content to a peer if this VM holds a newer revision.
+func (n *Node) handleRequest(now time.Time, from netip.AddrPort, w *heartbeat.Request) {
 	if !w.Revision().Before(n.cache.state(w.Kind).revision) {
 		return
 	}
@@ -114,10 +114,10 @@
 	case err != nil:
 		n.counters.malformed.Add(1)
 	case complete:
-		n.setWantFullList(false)
+		n.setRequestFullList(false)
 		n.announce(false)
 	case taken && s.End:
-		n.sendWant(now, heartbeat.Targets)
+		n.sendRequest(now, heartbeat.Targets)
 	}
 }
 
@@ -161,9 +161,9 @@
 	return s.nextServeAt.IsZero() || !now.Before(earliest)
 }
 
-// handlePiece adds a piece of content from a peer, and applies the content once it is
+// handleChunk adds a piece of content from a peer, and applies the content once it is
 // complete.
-func (n *Node) handlePiece(now time.Time, p *heartbeat.Chunk) {
+func (n *Node) handleChunk(now time.Time, p *heartbeat.Chunk) {
 	n.exchange.mu.Lock()
 	content, held, complete := n.exchange.assembly[p.Kind].Add(now, p)
 	n.exchange.mu.Unlock()
@@ -203,7 +203,7 @@
 	case baobabstep.CodeOf(err) == baobabstep.CodeConflict:
 		n.counters.conflictingChanges.Add(1)
 		if c.Kind == heartbeat.Targets && c.BaseChecksum == n.cache.state(c.Kind).sum {
-			n.setWantFullList(true)
+			n.setRequestFullList(true)
 		}
 		return
 	case err != nil:
@@ -211,7 +211,7 @@
 		return
 	}
 	if c.Kind == heartbeat.Targets && changed {
-		n.setWantFullList(false)
+		n.setRequestFullList(false)
 	}
 	switch near := n.peerTable.IsNear(from); {
 	case !changed:
@@ -222,12 +222,12 @@
 	}
 }
 
-// setWantFullList sets whether the next request for targets asks for the whole list rather
+// setRequestFullList sets whether the next request for targets asks for the whole list rather
 // than for changes.
-func (n *Node) setWantFullList(full bool) {
+func (n *Node) setRequestFullList(full bool) {
 	n.exchange.mu.Lock()
 	defer n.exchange.mu.Unlock()
-	n.exchange.wantFullList = full
+	n.exchange.requestFullList = full
 }
 
 func (n *Node) updateRoutes(table *baobabstep.RoutingTable, from origin) error {
@@ -242,7 +242,7 @@
 	n.notifyStoreRecovery(n.clock.Now())
 	changed, change, err := n.cache.updateTargets(n.clock.Now(), list, revision, from)
 	if changed {
-		n.setWantFullList(false)
+		n.setRequestFullList(false)
 		n.publishChange(change, from.source != sourcePeer)
 	}
 	return err
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -18,8 +18,8 @@
 	// secretSpread is the time after a restore of the store over which the VMs spread their
 	// reads of the secret.
 	secretSpread = 2 * time.Second
-	// minWantInterval is the least time between two requests for one kind.
-	minWantInterval = 100 * time.Millisecond
+	// minRequestInterval is the least time between two requests for one kind.
+	minRequestInterval = 100 * time.Millisecond
 	// contentLinkShare is the share of the VM's link that may be used to send content to other
 	// VMs; the rest is left to callers' segments, which would be lost on a full link.
 	// Receivers forward the content, so it reaches all VMs after a few rounds.
@@ -50,14 +50,14 @@
 	mu         sync.Mutex
 	assembly   [heartbeat.NumKinds]heartbeat.ChunkAssembly
 	fragments  heartbeat.FragmentAssembly
-	lastWantAt [heartbeat.NumKinds]time.Time
+	lastRequestAt [heartbeat.NumKinds]time.Time
 	// outdated is the held revision of a kind for which a peer has a newer one, and
 	// outdatedSince is when this VM first received an announcement of a newer one.
 	outdated      [heartbeat.NumKinds]baobabstep.Revision
 	outdatedSince [heartbeat.NumKinds]time.Time
-	// wantFullList is set when a change to the held targets did not give the expected
+	// requestFullList is set when a change to the held targets did not give the expected
 	// checksum, to request the whole list.
-	wantFullList bool
+	requestFullList bool
 	// nextServeAt is when this VM may next send content to a peer.
 	nextServeAt time.Time
 	// lastServed is the VM that received the last response.
@@ -143,9 +143,9 @@
 	case m.Heartbeat != nil:
 		n.handleHeartbeat(now, from, m.Heartbeat)
 	case m.Request != nil:
-		n.handleWant(now, from, m.Request)
+		n.handleRequest(now, from, m.Request)
 	case m.Chunk != nil:
-		n.handlePiece(now, m.Chunk)
+		n.handleChunk(now, m.Chunk)
 	case m.Change != nil:
 		n.handleChange(now, from, m.Change)
 	case m.Evacuations != nil:
@@ -205,14 +205,14 @@
 	if !cached.revision.Before(h.VersionOf(kind).Revision()) {
 		return
 	}
-	if !n.allowWant(now, kind, cached.revision) {
+	if !n.allowRequest(now, kind, cached.revision) {
 		return
 	}
-	n.sendWant(now, kind)
+	n.sendRequest(now, kind)
 }
 
-// sendWant requests a kind from a VM that holds a newer revision of it, if there is one.
-func (n *Node) sendWant(now time.Time, kind heartbeat.Kind) {
+// sendRequest requests a kind from a VM that holds a newer revision of it, if there is one.
+func (n *Node) sendRequest(now time.Time, kind heartbeat.Kind) {
 	cached := n.cache.state(kind)
 	source, ok := n.peerTable.FindNewer(now, kind, cached.revision, cached.sum)
 	if !ok {
@@ -233,13 +233,13 @@
 func (n *Node) wantsFullList() bool {
 	n.exchange.mu.Lock()
 	defer n.exchange.mu.Unlock()
-	return n.exchange.wantFullList
+	return n.exchange.requestFullList
 }
 
-// allowWant reports whether this VM may now request a newer revision of a kind than the
+// allowRequest reports whether this VM may now request a newer revision of a kind than the
 // current one, and if so records the request. It first waits for RelayDelay, as the change may
 // still arrive by relay.
-func (n *Node) allowWant(now time.Time, kind heartbeat.Kind, current baobabstep.Revision) bool {
+func (n *Node) allowRequest(now time.Time, kind heartbeat.Kind, current baobabstep.Revision) bool {
 	s := &n.exchange
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,10 +247,10 @@
 		s.outdated[kind], s.outdatedSince[kind] = current, now
 	}
 	initialised := current != baobabstep.Revision{}
-	if initialised && now.Sub(s.outdatedSince[kind]) < n.peerTable.RelayDelay() || now.Sub(s.lastWantAt[kind]) < minWantInterval {
+	if initialised && now.Sub(s.outdatedSince[kind]) < n.peerTable.RelayDelay() || now.Sub(s.lastRequestAt[kind]) < minRequestInterval {
 		return false
 	}
-	s.lastWantAt[kind] = now
+	s.lastRequestAt[kind] = now
 	return true
 }
 
--- a/entry/section.go
+++ b/entry/section.go
@@ -121,7 +121,7 @@
 // heartbeat of a VM that holds them, as heartbeats can be infrequent.
 func (n *Node) requestMissingSections(now time.Time) {
 	cached := n.cache.state(heartbeat.Targets).revision
-	if n.cache.needsMoreSections(now) && n.allowWant(now, heartbeat.Targets, cached) {
-		n.sendWant(now, heartbeat.Targets)
+	if n.cache.needsMoreSections(now) && n.allowRequest(now, heartbeat.Targets, cached) {
+		n.sendRequest(now, heartbeat.Targets)
 	}
 }
