--- a/entry/peers.go
+++ b/entry/peers.go
@@ -47,9 +47,9 @@
 // peerExchange holds the state of a Node's requests to peers and of the content that is
 // exchanged with them.
 type peerExchange struct {
-	mu         sync.Mutex
-	assembly   [heartbeat.NumKinds]heartbeat.ChunkAssembly
-	fragments  heartbeat.FragmentAssembly
+	mu            sync.Mutex
+	assembly      [heartbeat.NumKinds]heartbeat.ChunkAssembly
+	fragments     heartbeat.FragmentAssembly
 	lastRequestAt [heartbeat.NumKinds]time.Time
 	// outdated is the held revision of a kind for which a peer has a newer one, and
 	// outdatedSince is when this VM first received an announcement of a newer one.
